--- a/Makefile
+++ b/Makefile
@@ -7,6 +7,9 @@
 TOOLS := go tool -modfile=tools/proto/go.mod
 GOLANGCI := .bin/golangci-lint
 GOLANGCI_VERSION := v2.15.0
+GOPLS := .bin/gopls
+# The newest that the Go release in go.mod builds.
+GOPLS_VERSION := v0.23.0
 # The suites with goroutines of their own; the others are pure.
 RACED := ./internal/clock/... ./internal/fleet/... ./internal/kernel/... ./internal/records/... ./internal/transfer/... ./internal/upstream/... ./internal/quarantine/...
 PREFIX ?= /usr/local
@@ -48,6 +51,10 @@
 $(GOLANGCI):
 	GOBIN=$(CURDIR)/.bin go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(GOLANGCI_VERSION)
 
+# For renames that follow every use: .bin/gopls rename -w FILE:LINE:COLUMN NAME
+$(GOPLS):
+	GOBIN=$(CURDIR)/.bin go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+
 lint: stale $(GOLANGCI)
 	go vet ./...
 	$(GOLANGCI) run ./...
