--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -121,8 +121,8 @@
 	d := h.Part(DialectPart).(*Dialect)
 	sub := h.Part(reports.SubscriberPart).(*reports.Subscriber)
 	connect := h.Part(traffic.PartName).(*traffic.Part).Dial(traffic.Requests, dial.New(dialTimeout).DialContext)
-	load := Load{Tracker: sub.Tracker(), Offers: sub.Offers(), Demand: sub.Demand, Gateways: sub.Gateways}
-	load.Permits = Permits{Ask: sub.AskPermit, Named: sub.TellLimit, Ended: sub.TellLimitEnd}
+	load := Load{Tracker: sub.Tracker(), Offers: sub.Offers(), Demand: sub.Demand, Gateways: sub.GatewayCount}
+	load.Permits = Permits{Ask: sub.RequestPermit, Named: sub.SendLimit, Ended: sub.SendLimitEnd}
 	q := h.Part(quarantine.PartName).(*quarantine.Quarantine)
 	g := New(s, d, h.Part(facts.PartName).(*facts.Facts), load, q, connect, h.Identity.Domain, h.Log)
 	g.listener = l
--- a/internal/gateway/way_test.go
+++ b/internal/gateway/way_test.go
@@ -199,7 +199,7 @@
 	n.reporter = reports.NewReporter(c, "d", n.facts, time.Now, quiet)
 	s := reports.NewSubscriber(udp(), e.link.datagrams(c.LocalAddr().(*net.UDPAddr)), "d", e.facts, time.Now, quiet)
 	e.gateway.load.Tracker = s.Tracker()
-	e.gateway.load.Permits.Ask = s.AskPermit
+	e.gateway.load.Permits.Ask = s.RequestPermit
 	go func() { _ = n.reporter.Run(ctx) }()
 	go func() { _ = s.Run(ctx) }()
 	go func() {
--- a/internal/quarantine/part.go
+++ b/internal/quarantine/part.go
@@ -39,10 +39,10 @@
 	q := &Quarantine{List: l, Keeper: NewKeeper(p.Store, p.Held, l, l.now, l.log)}
 	q.Tell = func(n News) {
 		for _, m := range n.Tell() {
-			s.Tell(m)
+			s.BroadcastCrashNews(m)
 		}
 	}
-	s.OnNews = l.HearNews
+	s.OnCrashNews = l.HearNews
 	l.OnHeld = append(l.OnHeld, q.Keep, q.tellHeld)
 	l.OnServed = func(f Fingerprint) {
 		q.Drop(f)
--- a/internal/reports/news.go
+++ b/internal/reports/news.go
@@ -26,9 +26,9 @@
 	passedAtOnce    = 200
 )
 
-// Tell tells all gateways that subscribe to reports, by way of some stagers: a gateway knows no other gateways, and
+// BroadcastCrashNews tells all gateways that subscribe to reports, by way of some stagers: a gateway knows no other gateways, and
 // stagers know all.
-func (s *Subscriber) Tell(n *pb.CrashNews) {
+func (s *Subscriber) BroadcastCrashNews(n *pb.CrashNews) {
 	if !s.newsLimit.AllowN(s.now(), 1) {
 		s.vars.Add("news_over_rate", 1)
 		return
--- a/internal/reports/news_test.go
+++ b/internal/reports/news_test.go
@@ -32,7 +32,7 @@
 		var gateways []*Subscriber
 		for n := range 3 {
 			s := NewSubscriber(socket(), port(r.conn), "d", f, time.Now, quiet)
-			s.OnNews = func(m *pb.CrashNews) {
+			s.OnCrashNews = func(m *pb.CrashNews) {
 				mu.Lock()
 				defer mu.Unlock()
 				heard[n] += len(m.GetServed())
@@ -45,7 +45,7 @@
 			defer r.mu.Unlock()
 			return len(r.subscribers)
 		}).Should(Equal(3))
-		gateways[0].Tell(&pb.CrashNews{Served: [][]byte{{1}}})
+		gateways[0].BroadcastCrashNews(&pb.CrashNews{Served: [][]byte{{1}}})
 		Eventually(func() map[int]int {
 			mu.Lock()
 			defer mu.Unlock()
@@ -84,7 +84,7 @@
 		f := facts.New(time.Now)
 		s := NewSubscriber(socket(), 1, "d", f, func() time.Time { return now }, quiet)
 		for range newsAtOnce + 7 {
-			s.Tell(&pb.CrashNews{})
+			s.BroadcastCrashNews(&pb.CrashNews{})
 		}
 		Expect(s.vars.Get("news_over_rate").String()).To(Equal("7"))
 		r := NewReporter(socket(), "d", f, func() time.Time { return now }, quiet)
--- a/internal/reports/permits.go
+++ b/internal/reports/permits.go
@@ -47,9 +47,9 @@
 	delete(q.waiting, number)
 }
 
-// AskPermit asks the stager beside an upstream for a permit, and returns its number, or 0 where there is none, and
+// RequestPermit asks the stager beside an upstream for a permit, and returns its number, or 0 where there is none, and
 // whether an answer came before the context ended.
-func (s *Subscriber) AskPermit(ctx context.Context, address string, born id.Birth) (permit uint64, answered bool) {
+func (s *Subscriber) RequestPermit(ctx context.Context, address string, born id.Birth) (permit uint64, answered bool) {
 	number, answer := s.questions.add()
 	defer s.questions.drop(number)
 	s.tellStager(address, &pb.PermitRequest{Number: number, Born: uint64(born)})
@@ -61,13 +61,13 @@
 	}
 }
 
-// TellLimit tells the stager beside an upstream which limit an answer named.
-func (s *Subscriber) TellLimit(address string, born id.Birth, r throttle.Rate) {
+// SendLimit tells the stager beside an upstream which limit an answer named.
+func (s *Subscriber) SendLimit(address string, born id.Birth, r throttle.Rate) {
 	s.tellStager(address, &pb.PermitRequest{Born: uint64(born), Named: proto.Float64(float64(r))})
 }
 
-// TellLimitEnd tells the stager beside an upstream that the answer to the request with a permit named no limit.
-func (s *Subscriber) TellLimitEnd(address string, born id.Birth, permit uint64) {
+// SendLimitEnd tells the stager beside an upstream that the answer to the request with a permit named no limit.
+func (s *Subscriber) SendLimitEnd(address string, born id.Birth, permit uint64) {
 	s.tellStager(address, &pb.PermitRequest{Born: uint64(born), Ended: permit})
 }
 
@@ -130,7 +130,7 @@
 	}
 	rate, born, untold := s.tracker.Untold(r.GetAddress(), r.GetIncarnation())
 	if untold && s.mayRetell(r.GetAddress()) {
-		s.TellLimit(r.GetAddress(), born, rate)
+		s.SendLimit(r.GetAddress(), born, rate)
 	}
 }
 
--- a/internal/reports/reports_test.go
+++ b/internal/reports/reports_test.go
@@ -59,7 +59,7 @@
 			l, ok := s.Tracker().Fresh("127.0.0.1:9")
 			return ok && l.Running == 3 && l.Held[0] == facts.Held{Model: "m", Revision: 2}
 		}).Should(BeTrue())
-		Expect(s.Gateways()).To(Equal(1))
+		Expect(s.GatewayCount()).To(Equal(1))
 		r.mu.Lock()
 		now = now.Add(subscriptionLife + time.Second)
 		r.mu.Unlock()
@@ -166,14 +166,14 @@
 
 	it("say how many gateways share the budgets, and a safe number before that", func() {
 		s := NewSubscriber(socket(), 1, "d", facts.New(time.Now), time.Now, quiet)
-		Expect(s.Gateways()).To(Equal(defaultGateways))
+		Expect(s.GatewayCount()).To(Equal(defaultGateways))
 		for i, n := range []uint32{3, 7, 5} {
 			b, _ := proto.Marshal(&pb.UpstreamReport{Address: string(rune('a' + i)), Incarnation: 1, Number: 1, Subscribers: n})
 			s.take(b)
 		}
-		Expect(s.Gateways()).To(Equal(7))
+		Expect(s.GatewayCount()).To(Equal(7))
 		s.sweep(map[string]bool{"a": true})
-		Expect(s.Gateways()).To(Equal(3))
+		Expect(s.GatewayCount()).To(Equal(3))
 	})
 
 	it("tell gateways what callers bring to all of them, by failure domain, and at once when it jumps", func() {
--- a/internal/reports/subscriber.go
+++ b/internal/reports/subscriber.go
@@ -99,8 +99,8 @@
 	// sent is told of each subscription.
 	sent func(to id.Domain, bytes int)
 
-	// OnNews is told of what other gateways say of upstreams that have crashed; it is set before Run.
-	OnNews func(n *pb.CrashNews)
+	// OnCrashNews is told of what other gateways say of upstreams that have crashed; it is set before Run.
+	OnCrashNews func(n *pb.CrashNews)
 
 	// refusedLines bounds the lines on dates that can't be right.
 	refusedLines *rate.Limiter
@@ -120,12 +120,12 @@
 		conn: c, port: port, domain: d, facts: f, tracker: placement.NewTracker(now), now: now, log: l, vars: new(expvar.Map),
 		stagers: map[string]*heard{}, stamps: newStamps(now()),
 		refusedLines: rate.NewLimiter(refusedPerSecond, 1), newsLimit: rate.NewLimiter(newsPerSecond, newsAtOnce),
-		OnNews:    func(*pb.CrashNews) {},
+		OnCrashNews:    func(*pb.CrashNews) {},
 		offers:    placement.NewOffers(now),
 		sent:      func(id.Domain, int) {},
 		questions: questions{waiting: map[uint64]chan uint64{}},
 	}
-	s.tracker.Gateways = s.Gateways
+	s.tracker.Gateways = s.GatewayCount
 	return s
 }
 
@@ -160,8 +160,8 @@
 	return most
 }
 
-// Gateways is the number of gateways that stagers know, this one included. The largest count is the safe one.
-func (s *Subscriber) Gateways() int {
+// GatewayCount is the number of gateways that stagers know, this one included. The largest count is the safe one.
+func (s *Subscriber) GatewayCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	most := 0
@@ -207,7 +207,7 @@
 	err := proto.Unmarshal(b, &r)
 	if err == nil && r.GetNews() != nil {
 		s.vars.Add("news", 1)
-		s.OnNews(r.GetNews())
+		s.OnCrashNews(r.GetNews())
 		return
 	}
 	if err == nil && r.GetPermit() != nil {
