--- a/internal/dating/dating.go
+++ b/internal/dating/dating.go
@@ -10,42 +10,42 @@
 
 // The kinds of evidence.
 const (
-	None Evidence = iota
-	// EarlierReading is a reading of the store that did not show the event yet.
-	EarlierReading
-	// Wait is a question that had waited at the store for just this event.
-	Wait
-	// Return is the end of a time in which the store was away for the process that had read all before it.
-	Return
+	NoEvidence Evidence = iota
+	// EarlierRead is a reading of the store that did not show the event yet.
+	EarlierRead
+	// LongPoll is a question that had waited at the store for just this event.
+	LongPoll
+	// StoreReturn is the end of a time in which the store was away for the process that had read all before it.
+	StoreReturn
 )
 
-var evidenceNames = [...]string{None: "none", EarlierReading: "earlier reading", Wait: "wait", Return: "return of the store"}
+var evidenceNames = [...]string{NoEvidence: "none", EarlierRead: "earlier reading", LongPoll: "wait", StoreReturn: "return of the store"}
 
 // String names the evidence for a log line.
 func (e Evidence) String() string {
 	if int(e) >= len(evidenceNames) {
-		return evidenceNames[None]
+		return evidenceNames[NoEvidence]
 	}
 	return evidenceNames[e]
 }
 
-// Origin is who dated an event, and how.
-type Origin struct {
-	// By is the address of the process that saw it.
-	By       string
+// DateSource is who dated an event, and how.
+type DateSource struct {
+	// Observer is the address of the process that saw it.
+	Observer       string
 	Evidence Evidence
 }
 
-// Bracket is what is known of the moment of an event.
-type Bracket struct {
+// TimeBounds is what is known of the moment of an event.
+type TimeBounds struct {
 	// After is a moment, by the steady clock, at which the event had not happened yet; zero where none is known. It is the date that
 	// deadlines are counted from.
 	After time.Time
-	// Had is the earliest moment at which some process is known to have known of the event; zero where none is known. A date
+	// KnownAt is the earliest moment at which some process is known to have known of the event; zero where none is known. A date
 	// behind it is wrong, whoever tells it; without this check one wrong date goes round to all processes that have none.
-	Had time.Time
-	// Origin is that of After.
-	Origin Origin
+	KnownAt time.Time
+	// Source is that of After.
+	Source DateSource
 }
 
 // Outcome is what became of what another process tells of an event.
@@ -72,10 +72,10 @@
 
 // Merge adds what another process tells. A date that is known only ever moves earlier, and only where it is shown to be
 // wrong: another one that is earlier still is as true and says less. Where no date is left, none is known.
-func (b Bracket) Merge(o Bracket) (Bracket, Outcome) {
-	had := earliest(b.Had, o.Had)
-	told := Bracket{After: o.After, Had: had, Origin: o.Origin}
-	own := Bracket{After: b.After, Had: had, Origin: b.Origin}
+func (b TimeBounds) Merge(o TimeBounds) (TimeBounds, Outcome) {
+	had := earliest(b.KnownAt, o.KnownAt)
+	told := TimeBounds{After: o.After, KnownAt: had, Source: o.Source}
+	own := TimeBounds{After: b.After, KnownAt: had, Source: b.Source}
 	switch {
 	case own.dated() && !own.wrong():
 		if told.wrong() {
@@ -88,22 +88,22 @@
 		}
 		return told, Taken
 	case own.dated():
-		return Bracket{Had: had}, Withdrawn
+		return TimeBounds{KnownAt: had}, Withdrawn
 	case told.dated():
-		return Bracket{Had: had}, Refused
+		return TimeBounds{KnownAt: had}, Refused
 	default:
-		return Bracket{Had: had}, Kept
+		return TimeBounds{KnownAt: had}, Kept
 	}
 }
 
 // dated says whether a date is known.
-func (b Bracket) dated() bool {
+func (b TimeBounds) dated() bool {
 	return !b.After.IsZero()
 }
 
 // wrong says whether somebody knew of the event before the date.
-func (b Bracket) wrong() bool {
-	return b.dated() && !b.Had.IsZero() && b.After.After(b.Had)
+func (b TimeBounds) wrong() bool {
+	return b.dated() && !b.KnownAt.IsZero() && b.After.After(b.KnownAt)
 }
 
 // earliest returns the earlier of two moments; zero is none.
--- a/internal/dating/dating_test.go
+++ b/internal/dating/dating_test.go
@@ -42,8 +42,8 @@
 		{"knows nothing of nothing", 0, 0, 0, 0, 0, 0, Kept},
 	} {
 		It(c.text, func() {
-			got, o := Bracket{After: at(c.after), Had: at(c.had)}.Merge(Bracket{After: at(c.toldAfter), Had: at(c.toldHad)})
-			Expect(got).To(Equal(Bracket{After: at(c.wantAfter), Had: at(c.wantHad)}))
+			got, o := TimeBounds{After: at(c.after), KnownAt: at(c.had)}.Merge(TimeBounds{After: at(c.toldAfter), KnownAt: at(c.toldHad)})
+			Expect(got).To(Equal(TimeBounds{After: at(c.wantAfter), KnownAt: at(c.wantHad)}))
 			Expect(o).To(Equal(c.want))
 		})
 	}
@@ -51,15 +51,15 @@
 	It("never moves its date later, and ends before what anybody knew, in any order", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			moment := rapid.IntRange(0, 20)
-			var b Bracket
+			var b TimeBounds
 			for range rapid.IntRange(1, 12).Draw(t, "told") {
-				o := Bracket{After: at(moment.Draw(t, "after")), Had: at(moment.Draw(t, "had"))}
+				o := TimeBounds{After: at(moment.Draw(t, "after")), KnownAt: at(moment.Draw(t, "had"))}
 				n, _ := b.Merge(o)
 				if b.dated() && n.dated() && n.After.After(b.After) {
 					t.Fatalf("%v became %v", b, n)
 				}
 				if n.wrong() {
-					t.Fatalf("%v is after %v", n.After, n.Had)
+					t.Fatalf("%v is after %v", n.After, n.KnownAt)
 				}
 				b = n
 			}
@@ -67,14 +67,14 @@
 	})
 
 	It("is told with its origin, and takes a kind of evidence that it does not know for none", func() {
-		o := Origin{By: "a", Evidence: Return}
-		Expect(Told(o.Tell())).To(Equal(o))
-		Expect(Origin{}.Tell()).To(BeNil())
-		Expect(Told(&pb.DateOrigin{By: "a", Evidence: 200})).To(Equal(Origin{By: "a"}))
-		Expect(Told(&pb.DateOrigin{By: "a", Evidence: -1})).To(Equal(Origin{By: "a"}))
+		o := DateSource{Observer: "a", Evidence: StoreReturn}
+		Expect(SourceFromProto(o.Proto())).To(Equal(o))
+		Expect(DateSource{}.Proto()).To(BeNil())
+		Expect(SourceFromProto(&pb.DateOrigin{By: "a", Evidence: 200})).To(Equal(DateSource{Observer: "a"}))
+		Expect(SourceFromProto(&pb.DateOrigin{By: "a", Evidence: -1})).To(Equal(DateSource{Observer: "a"}))
 	})
 
 	It("names its evidence and outcomes", func() {
-		Expect([]string{Return.String(), Evidence(200).String(), Withdrawn.String()}).To(Equal([]string{"return of the store", "none", "withdrawn"}))
+		Expect([]string{StoreReturn.String(), Evidence(200).String(), Withdrawn.String()}).To(Equal([]string{"return of the store", "none", "withdrawn"}))
 	})
 })
--- a/internal/dating/wire.go
+++ b/internal/dating/wire.go
@@ -2,19 +2,19 @@
 
 import pb "github.com/springrail/springrail/gen/springrail/v1"
 
-// Tell is an origin as processes tell it each other; nil where there is none.
-func (o Origin) Tell() *pb.DateOrigin {
-	if o == (Origin{}) {
+// Proto is an origin as processes tell it each other; nil where there is none.
+func (o DateSource) Proto() *pb.DateOrigin {
+	if o == (DateSource{}) {
 		return nil
 	}
-	return &pb.DateOrigin{By: o.By, Evidence: pb.Evidence(o.Evidence)}
+	return &pb.DateOrigin{By: o.Observer, Evidence: pb.Evidence(o.Evidence)}
 }
 
-// Told is the origin that another process tells.
-func Told(o *pb.DateOrigin) Origin {
+// SourceFromProto is the origin that another process tells.
+func SourceFromProto(o *pb.DateOrigin) DateSource {
 	e := o.GetEvidence()
 	if e < 0 || int(e) >= len(evidenceNames) {
 		e = pb.Evidence_EVIDENCE_UNSPECIFIED
 	}
-	return Origin{By: o.GetBy(), Evidence: Evidence(e)}
+	return DateSource{Observer: o.GetBy(), Evidence: Evidence(e)}
 }
--- a/internal/decide/door.go
+++ b/internal/decide/door.go
@@ -36,7 +36,7 @@
 	count := func() int { return len(p.doors) }
 	rule := placement.BudgetRule{Ratio: settings.RepeatRatio, Slack: settings.RepeatSlack, Window: settings.RepeatWindow}
 	d.budget = placement.NewBudget(rule, count, p.now)
-	d.facts.SetWanted(model, facts.Naming{Revision: 1, Date: dating.Bracket{After: p.now()}})
+	d.facts.SetWanted(model, facts.Naming{Revision: 1, Date: dating.TimeBounds{After: p.now()}})
 	d.desk = &gateway.Desk{
 		Facts: d.facts, Domain: domain, SwapWithin: seconds(p.scenario.SwapWithin), Now: p.now, Random: func() *rand.Rand { return r },
 		Load: gateway.Load{Tracker: d.tracker, Offers: d.offers, Demand: func(id.Pool) placement.Demand { return d.demand() }, Gateways: count},
--- a/internal/decide/version.go
+++ b/internal/decide/version.go
@@ -40,7 +40,7 @@
 	at := seconds(v.Named)
 	named := p.start.Add(at)
 	p.on(at+ms(p.scenario.Reports.NewsMs), func() {
-		n := facts.Naming{Revision: r, Date: dating.Bracket{After: named}, Missed: named}
+		n := facts.Naming{Revision: r, Date: dating.TimeBounds{After: named}, Missed: named}
 		p.news.SetWanted(model, n)
 		for _, d := range p.doors {
 			d.facts.SetWanted(model, n)
--- a/internal/facts/facts_test.go
+++ b/internal/facts/facts_test.go
@@ -21,7 +21,7 @@
 var _ = Describe("facts", func() {
 	var now time.Time
 	var f *Facts
-	named := func(r id.Revision) Naming { return Naming{Revision: r, Date: dating.Bracket{After: now}, Missed: now} }
+	named := func(r id.Revision) Naming { return Naming{Revision: r, Date: dating.TimeBounds{After: now}, Missed: now} }
 	BeforeEach(func() {
 		now = time.Unix(1000, 0)
 		f = New(func() time.Time { return now })
@@ -54,17 +54,17 @@
 		Expect(f.Required("m", time.Second)).To(Equal(id.Revision(2)))
 		Expect(f.Until("m", 1, time.Second)).To(Equal(now))
 		since := now.Add(-200 * time.Millisecond)
-		Expect(f.SetWanted("m", Naming{Revision: 2, Date: dating.Bracket{After: since}}).News).To(BeFalse(), "the version is known")
+		Expect(f.SetWanted("m", Naming{Revision: 2, Date: dating.TimeBounds{After: since}}).News).To(BeFalse(), "the version is known")
 		Expect(f.Required("m", time.Second)).To(BeZero())
 		Expect(f.Until("m", 1, time.Second)).To(Equal(since.Add(time.Second)))
-		Expect(f.SetWanted("m", Naming{Revision: 2, Date: dating.Bracket{After: now}}).News).To(BeFalse())
+		Expect(f.SetWanted("m", Naming{Revision: 2, Date: dating.TimeBounds{After: now}}).News).To(BeFalse())
 		Expect(f.Until("m", 1, time.Second)).To(Equal(since.Add(time.Second)), "the first that is known stays")
 	})
 
 	It("count the time of a version from the first newer one, also where only a later one was read", func() {
 		missed := now.Add(-3 * time.Second)
 		f.SetWanted("m", named(2))
-		f.SetWanted("m", Naming{Revision: 4, Date: dating.Bracket{After: now}, Missed: missed})
+		f.SetWanted("m", Naming{Revision: 4, Date: dating.TimeBounds{After: now}, Missed: missed})
 		Expect(f.Until("m", 2, 10*time.Second)).To(Equal(missed.Add(10 * time.Second)))
 		Expect(f.Until("m", 3, 10*time.Second)).To(Equal(now.Add(10 * time.Second)))
 	})
@@ -72,11 +72,11 @@
 	It("take no date for a version that lies after a moment at which somebody knew a later one", func() {
 		start := now
 		now = now.Add(20 * time.Second)
-		f.SetWanted("m", Naming{Revision: 2, Date: dating.Bracket{After: now.Add(-time.Second)}})
-		f.SetWanted("m", Naming{Revision: 4, Date: dating.Bracket{After: now}, Missed: now})
+		f.SetWanted("m", Naming{Revision: 2, Date: dating.TimeBounds{After: now.Add(-time.Second)}})
+		f.SetWanted("m", Naming{Revision: 4, Date: dating.TimeBounds{After: now}, Missed: now})
 		Expect(f.Until("m", 1, 8*time.Second)).To(Equal(start.Add(27 * time.Second)))
 		Expect(f.Until("m", 2, 8*time.Second)).To(Equal(start.Add(28 * time.Second)))
-		f.Date("m", 4, dating.Bracket{After: start.Add(4 * time.Second), Had: start.Add(5 * time.Second)})
+		f.Date("m", 4, dating.TimeBounds{After: start.Add(4 * time.Second), KnownAt: start.Add(5 * time.Second)})
 		Expect(f.Until("m", 3, 8*time.Second)).To(Equal(start.Add(12 * time.Second)))
 		Expect(f.Until("m", 2, 8*time.Second)).To(Equal(now), "version 3 was named before version 4 was known")
 		Expect(f.Until("m", 1, 8*time.Second)).To(Equal(now), "and so was version 2")
@@ -85,30 +85,30 @@
 	It("withdraw the date of a version also where the later one is read only then, and wake who waits", func() {
 		start := now
 		now = now.Add(20 * time.Second)
-		f.SetWanted("m", Naming{Revision: 2, Date: dating.Bracket{After: now}})
-		f.SetWanted("m", Naming{Revision: 3, Date: dating.Bracket{Had: start.Add(21 * time.Second)}})
+		f.SetWanted("m", Naming{Revision: 2, Date: dating.TimeBounds{After: now}})
+		f.SetWanted("m", Naming{Revision: 3, Date: dating.TimeBounds{KnownAt: start.Add(21 * time.Second)}})
 		Expect(f.Until("m", 1, 8*time.Second)).To(Equal(now.Add(8 * time.Second)))
 		changed := f.Changed()
-		f.Date("m", 3, dating.Bracket{Had: start.Add(20 * time.Second)})
+		f.Date("m", 3, dating.TimeBounds{KnownAt: start.Add(20 * time.Second)})
 		Expect(changed).NotTo(BeClosed(), "nothing that counts has changed")
-		f.Date("m", 3, dating.Bracket{Had: start.Add(5 * time.Second)})
+		f.Date("m", 3, dating.TimeBounds{KnownAt: start.Add(5 * time.Second)})
 		Expect(changed).To(BeClosed(), "the date of version 2 has gone")
 		Expect(f.Until("m", 1, 8*time.Second)).To(Equal(now))
 
-		f.SetWanted("n", Naming{Revision: 2, Date: dating.Bracket{After: now}})
-		f.SetWanted("n", Naming{Revision: 3, Date: dating.Bracket{Had: start}})
+		f.SetWanted("n", Naming{Revision: 2, Date: dating.TimeBounds{After: now}})
+		f.SetWanted("n", Naming{Revision: 3, Date: dating.TimeBounds{KnownAt: start}})
 		Expect(f.Until("n", 1, 8*time.Second)).To(Equal(now))
 	})
 
 	It("refuse a date after they learnt of the naming, and wake who waits when one goes", func() {
-		Expect(f.SetWanted("m", Naming{Revision: 2, Date: dating.Bracket{After: now.Add(time.Second)}}).Date).To(Equal(dating.Refused))
+		Expect(f.SetWanted("m", Naming{Revision: 2, Date: dating.TimeBounds{After: now.Add(time.Second)}}).Date).To(Equal(dating.Refused))
 		Expect(f.Until("m", 1, 8*time.Second)).To(Equal(now))
 		f.SetWanted("m", named(3))
 		since := now.Add(-2 * time.Second)
-		Expect(f.SetWanted("m", Naming{Revision: 2, Date: dating.Bracket{After: since}}).Date).To(Equal(dating.Taken), "a version that is not the newest any more")
+		Expect(f.SetWanted("m", Naming{Revision: 2, Date: dating.TimeBounds{After: since}}).Date).To(Equal(dating.Taken), "a version that is not the newest any more")
 		Expect(f.Until("m", 1, 8*time.Second)).To(Equal(since.Add(8 * time.Second)))
 		changed := f.Changed()
-		Expect(f.Date("m", 3, dating.Bracket{Had: now.Add(-time.Second)})).To(Equal(dating.Withdrawn))
+		Expect(f.Date("m", 3, dating.TimeBounds{KnownAt: now.Add(-time.Second)})).To(Equal(dating.Withdrawn))
 		Expect(changed).To(BeClosed())
 	})
 
--- a/internal/facts/wanted.go
+++ b/internal/facts/wanted.go
@@ -12,7 +12,7 @@
 type Wanted struct {
 	Revision id.Revision
 	// Date is that of the naming. The time of older versions runs from it: what this process learns late must not come on top.
-	Date dating.Bracket
+	Date dating.TimeBounds
 	// Learnt is when this process read of it.
 	Learnt time.Time
 	// unread says that it stands for all versions up to it that this process has not read of, dated by the first of
@@ -32,7 +32,7 @@
 type Naming struct {
 	Revision id.Revision
 	// Date is that of the naming; Missed is a moment before any naming that this process has not read, zero where none is known.
-	Date   dating.Bracket
+	Date   dating.TimeBounds
 	Missed time.Time
 }
 
@@ -56,9 +56,9 @@
 	now := f.now()
 	if last.Revision+1 < n.Revision {
 		// Others may have been named in between, the first of them ever since the last reading.
-		l = remember(l, Wanted{Revision: n.Revision - 1, Date: dating.Bracket{After: n.Missed}, Learnt: now, unread: true})
+		l = remember(l, Wanted{Revision: n.Revision - 1, Date: dating.TimeBounds{After: n.Missed}, Learnt: now, unread: true})
 	}
-	d, o := dating.Bracket{Had: now}.Merge(n.Date)
+	d, o := dating.TimeBounds{KnownAt: now}.Merge(n.Date)
 	f.wanted[m], _ = agree(remember(l, Wanted{Revision: n.Revision, Date: d, Learnt: now}))
 	f.notify()
 	return Change{News: true, Date: o}
@@ -79,7 +79,7 @@
 	if last.Revision+1 < r {
 		l = remember(l, Wanted{Revision: r - 1, Learnt: now, unread: true})
 	}
-	f.wanted[m], _ = agree(remember(l, Wanted{Revision: r, Date: dating.Bracket{Had: now}, Learnt: now, proved: true}))
+	f.wanted[m], _ = agree(remember(l, Wanted{Revision: r, Date: dating.TimeBounds{KnownAt: now}, Learnt: now, proved: true}))
 	f.notify()
 	return true
 }
@@ -96,14 +96,14 @@
 
 // Date takes what another process tells of the naming of weights: one that starts while a version is brought out reads
 // it in the store without its age.
-func (f *Facts) Date(m id.Model, r id.Revision, d dating.Bracket) dating.Outcome {
+func (f *Facts) Date(m id.Model, r id.Revision, d dating.TimeBounds) dating.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.date(m, r, d)
 }
 
 // date is Date; the caller holds the lock.
-func (f *Facts) date(m id.Model, r id.Revision, d dating.Bracket) dating.Outcome {
+func (f *Facts) date(m id.Model, r id.Revision, d dating.TimeBounds) dating.Outcome {
 	i := slices.IndexFunc(f.wanted[m], func(w Wanted) bool { return w.Revision == r && !w.unread })
 	if i < 0 {
 		return dating.Kept
@@ -128,7 +128,7 @@
 // must not be shared.
 func agree(l []Wanted) (_ []Wanted, withdrawn bool) {
 	for i := len(l) - 2; i >= 0; i-- {
-		d, o := l[i].Date.Merge(dating.Bracket{Had: l[i+1].Date.Had})
+		d, o := l[i].Date.Merge(dating.TimeBounds{KnownAt: l[i+1].Date.KnownAt})
 		l[i].Date, withdrawn = d, withdrawn || o == dating.Withdrawn
 	}
 	return l, withdrawn
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -30,7 +30,7 @@
 	}
 	r := route(catalog.Streaming, "engines")
 	f.SetCatalog(catalog.New(1, []*catalog.Route{r}, []*catalog.Service{{Name: "engines", Engine: e}}, nil, catalog.Limits{}))
-	f.SetWanted("m", facts.Naming{Revision: 2, Date: dating.Bracket{After: now}, Missed: now})
+	f.SetWanted("m", facts.Naming{Revision: 2, Date: dating.TimeBounds{After: now}, Missed: now})
 	t := placement.NewTracker(clock)
 	held := []facts.Held{{Model: "m", Revision: 1}}
 	for n := range upstreams {
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -229,7 +229,7 @@
 		go func() {
 			<-arrived
 			since <- time.Now()
-			b.facts.Date("m", 2, dating.Bracket{Had: time.Now().Add(-time.Minute)})
+			b.facts.Date("m", 2, dating.TimeBounds{KnownAt: time.Now().Add(-time.Minute)})
 		}()
 		_, _, err := b.ask("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
@@ -296,5 +296,5 @@
 
 // secondNamed is what a process has read of a second version that is named just now.
 func secondNamed() facts.Naming {
-	return facts.Naming{Revision: 2, Date: dating.Bracket{After: time.Now()}, Missed: time.Now()}
+	return facts.Naming{Revision: 2, Date: dating.TimeBounds{After: time.Now()}, Missed: time.Now()}
 }
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -104,7 +104,7 @@
 		})
 		b.facts.SetWanted("m", facts.Naming{Revision: 1})
 		now := s.now()
-		b.facts.SetWanted("m", facts.Naming{Revision: 2, Date: dating.Bracket{After: now, Had: now}})
+		b.facts.SetWanted("m", facts.Naming{Revision: 2, Date: dating.TimeBounds{After: now, KnownAt: now}})
 		a, _, err := b.ask("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(http.StatusOK))
--- a/internal/gateway/way_test.go
+++ b/internal/gateway/way_test.go
@@ -214,7 +214,7 @@
 // name names a newer version now.
 func (e *farEnd) name() {
 	e.named = time.Now()
-	e.facts.SetWanted("m", facts.Naming{Revision: 2, Date: dating.Bracket{After: e.named}, Missed: e.named})
+	e.facts.SetWanted("m", facts.Naming{Revision: 2, Date: dating.TimeBounds{After: e.named}, Missed: e.named})
 }
 
 // end is when the older version's time is over.
--- a/internal/records/away.go
+++ b/internal/records/away.go
@@ -56,22 +56,22 @@
 func (l *Log) unread(had time.Time) (time.Time, dating.Evidence) {
 	switch {
 	case l.returned.at.After(l.settled) && (had.IsZero() || !l.returned.at.After(had)):
-		return l.returned.at, dating.Return
+		return l.returned.at, dating.StoreReturn
 	case l.settled.IsZero():
-		return l.settled, dating.None
+		return l.settled, dating.NoEvidence
 	default:
-		return l.settled, dating.EarlierReading
+		return l.settled, dating.EarlierRead
 	}
 }
 
 // bound dates a record that has not been read here before; the caller holds the lock.
 func (l *Log) bound(r *Record) {
 	// A date that contradicts what its teller knows must not hide the own one.
-	r.Bracket, _ = dating.Bracket{}.Merge(r.Bracket)
-	at, e := l.unread(r.Had)
+	r.TimeBounds, _ = dating.TimeBounds{}.Merge(r.TimeBounds)
+	at, e := l.unread(r.KnownAt)
 	r.Missed = at
 	if at.After(r.After) {
-		r.After, r.Origin = at, dating.Origin{By: l.turn.self, Evidence: e}
+		r.After, r.Source = at, dating.DateSource{Observer: l.turn.self, Evidence: e}
 	}
 }
 
--- a/internal/records/dated_test.go
+++ b/internal/records/dated_test.go
@@ -85,9 +85,9 @@
 
 		follower := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, quiet)
 		follower.Take(Batch{Whole: true, Next: 4, Confirmed: asked, Settled: asked})
-		told := dating.Bracket{After: back}
+		told := dating.TimeBounds{After: back}
 		follower.Take(Batch{
-			Records: []Record{{Key: "version", Value: []byte("2"), At: 4, Bracket: told}}, Next: 5, Confirmed: now,
+			Records: []Record{{Key: "version", Value: []byte("2"), At: 4, TimeBounds: told}}, Next: 5, Confirmed: now,
 			Returned: outageEnd{at: back, next: 4},
 		})
 		Expect([]time.Time{got.After, got.Missed}).To(Equal([]time.Time{back, back}))
--- a/internal/records/dates_test.go
+++ b/internal/records/dates_test.go
@@ -84,7 +84,7 @@
 		return nil
 	}
 	n, err := strconv.Atoi(string(r.Value))
-	p.facts.SetWanted("m", facts.Naming{Revision: id.Revision(n), Date: r.Bracket, Missed: r.Missed})
+	p.facts.SetWanted("m", facts.Naming{Revision: id.Revision(n), Date: r.TimeBounds, Missed: r.Missed})
 	return err
 }
 
@@ -184,7 +184,7 @@
 	if n.Learnt.IsZero() {
 		return
 	}
-	r := report{revision: n.Revision, age: -1, had: w.now.Sub(n.Date.Had)}
+	r := report{revision: n.Revision, age: -1, had: w.now.Sub(n.Date.KnownAt)}
 	if !n.Date.After.IsZero() {
 		r.age = w.now.Sub(n.Date.After)
 	}
@@ -202,7 +202,7 @@
 	}
 	r := w.reports[0]
 	w.reports = w.reports[1:]
-	d := dating.Bracket{Had: w.now.Add(-r.had)}
+	d := dating.TimeBounds{KnownAt: w.now.Add(-r.had)}
 	if r.age >= 0 && !r.made.IsZero() {
 		d.After = r.made.Add(-r.age)
 	}
@@ -241,14 +241,14 @@
 	const within = time.Minute
 	for i, p := range w.processes {
 		newest := p.facts.Wanted("m").Revision
-		if had := p.facts.Wanted("m").Date.Had; newest > 1 && had.Before(w.named[newest-2]) {
+		if had := p.facts.Wanted("m").Date.KnownAt; newest > 1 && had.Before(w.named[newest-2]) {
 			w.t.Fatalf("process %d: version %d, named at %v, is taken to be known at %v", i, newest, w.named[newest-2].Sub(start), had.Sub(start))
 		}
 		for v := id.Revision(1); v < newest; v++ {
 			until := p.facts.Until("m", v, within)
 			if named := w.named[v-1]; until.After(w.allowed(named).Add(within)) {
 				w.t.Fatalf("process %d: version %d, named at %v, is dated %v by %+v; blind: %v", i, v+1, named.Sub(start),
-					until.Add(-within).Sub(start), p.facts.Wanted("m").Date.Origin, w.blind)
+					until.Add(-within).Sub(start), p.facts.Wanted("m").Date.Source, w.blind)
 			}
 		}
 	}
--- a/internal/records/entry.go
+++ b/internal/records/entry.go
@@ -41,7 +41,7 @@
 // tell says what a follower needs that may have the record before, or not; long values are compressed once for all
 // followers.
 func (e *entry) tell(hasBefore bool, now time.Time, l *log.Logger) told {
-	t := told{Record: e.Record, absent: sinceKnown(now, e.After), had: sinceKnown(now, e.Had)}
+	t := told{Record: e.Record, absent: sinceKnown(now, e.After), had: sinceKnown(now, e.KnownAt)}
 	switch {
 	case len(e.Value) < packFrom:
 	case hasBefore && e.before.Value != nil:
--- a/internal/records/log.go
+++ b/internal/records/log.go
@@ -184,7 +184,7 @@
 		return
 	case held && version > e.version && e.version > 0 && r.At != e.At:
 		// Whatever its offset: the newest record of a key need not have the highest number.
-		r.Bracket, _ = dating.Bracket{Had: l.now()}.Merge(r.Bracket)
+		r.TimeBounds, _ = dating.TimeBounds{KnownAt: l.now()}.Merge(r.TimeBounds)
 		l.change(e, r)
 		return
 	case !held && !current && r.At < l.next:
@@ -202,12 +202,12 @@
 	if r.Value != nil && l.topic.Reduce != nil {
 		r.Value = l.topic.Reduce(r.Value)
 	}
-	r.Bracket, _ = dating.Bracket{Had: l.now()}.Merge(r.Bracket)
+	r.TimeBounds, _ = dating.TimeBounds{KnownAt: l.now()}.Merge(r.TimeBounds)
 	if e.change == 0 || (r.Value == nil) != (e.Value == nil) || !bytes.Equal(r.Value, e.Value) {
 		l.change(e, r)
 		return
 	}
-	r.Bracket = e.Bracket
+	r.TimeBounds = e.TimeBounds
 	if b.Whole || len(r.Value) >= packFrom {
 		// The key may have had another value meanwhile, which a follower has read itself: this one is told as newer. A long
 		// value's offset is what patches build on.
@@ -239,13 +239,13 @@
 	if e.Value == nil || e.skipped {
 		return
 	}
-	d, o := e.Merge(r.Bracket)
+	d, o := e.Merge(r.TimeBounds)
 	if o == dating.Refused && l.skippedLines.AllowN(l.now(), 1) {
 		l.log.Warn().Str("topic", l.topic.Name).Str("key", e.Key).Uint64("offset", e.At.Offset()).Uint64("era", e.At.Era()).Time("after", r.After).
-			Str("by", r.Origin.By).Stringer("evidence", r.Origin.Evidence).Msg("date of a record refused")
+			Str("by", r.Source.Observer).Stringer("evidence", r.Source.Evidence).Msg("date of a record refused")
 	}
 	old := e.After
-	e.Bracket = d
+	e.TimeBounds = d
 	if !d.After.Equal(old) {
 		l.apply(e, e.Record)
 	}
--- a/internal/records/reader.go
+++ b/internal/records/reader.go
@@ -243,7 +243,7 @@
 	if len(l) != 1 || now.Sub(asked) >= wait || !written.After(asked) {
 		return
 	}
-	l[0].After, l[0].Origin = written, dating.Origin{By: r.log.turn.self, Evidence: dating.Wait}
+	l[0].After, l[0].Source = written, dating.DateSource{Observer: r.log.turn.self, Evidence: dating.LongPoll}
 }
 
 // batch is what an answer says that was asked for at a moment.
--- a/internal/records/records.go
+++ b/internal/records/records.go
@@ -17,7 +17,7 @@
 	Value []byte
 	At    id.Position
 	// Bracket is what is known of when the record was written.
-	dating.Bracket
+	dating.TimeBounds
 	// Missed is a moment at which the store had none of the records that this process has not read before this one; zero
 	// where none is known. It differs from the bracket's date where a source tells this process only the newest of several.
 	Missed time.Time
--- a/internal/records/service.go
+++ b/internal/records/service.go
@@ -135,7 +135,7 @@
 	for _, r := range c.Records {
 		m := &pb.RelayedRecord{
 			Key: r.Key, Value: r.Value, Dropped: r.Value == nil, Offset: uint64(r.At),
-			AbsentMs: millisUp(r.absent), HadMs: millisDown(r.had), Origin: r.Origin.Tell(),
+			AbsentMs: millisUp(r.absent), HadMs: millisDown(r.had), Origin: r.Source.Proto(),
 		}
 		if r.packed != nil {
 			m.Value, m.Packed, m.Patched, m.Base = r.packed, true, r.patched, uint64(r.base)
--- a/internal/records/take.go
+++ b/internal/records/take.go
@@ -137,8 +137,8 @@
 		if err != nil {
 			return false, err
 		}
-		d := dating.Bracket{After: before(answered, r.AbsentMs), Had: before(now, r.HadMs), Origin: dating.Told(r.GetOrigin())}
-		b.Records = append(b.Records, Record{Key: r.GetKey(), Value: v, At: id.Position(r.GetOffset()), Bracket: d})
+		d := dating.TimeBounds{After: before(answered, r.AbsentMs), KnownAt: before(now, r.HadMs), Source: dating.SourceFromProto(r.GetOrigin())}
+		b.Records = append(b.Records, Record{Key: r.GetKey(), Value: v, At: id.Position(r.GetOffset()), TimeBounds: d})
 	}
 	return l.Take(b), nil
 }
--- a/internal/records/told_test.go
+++ b/internal/records/told_test.go
@@ -19,8 +19,8 @@
 		l         *Log
 	)
 	clock := func() time.Time { return now }
-	record := func(d dating.Bracket) []Record {
-		return []Record{{Key: "version", Value: []byte("3"), At: 4, Bracket: d}}
+	record := func(d dating.TimeBounds) []Record {
+		return []Record{{Key: "version", Value: []byte("3"), At: 4, TimeBounds: d}}
 	}
 
 	BeforeEach(func() {
@@ -36,21 +36,21 @@
 
 	It("is dated by the last reading where the store was away for this process alone", func() {
 		l.returned = outageEnd{at: now.Add(-time.Second), next: 4}
-		l.Take(Batch{Records: record(dating.Bracket{Had: last.Add(time.Second)}), Next: 5, Confirmed: now})
+		l.Take(Batch{Records: record(dating.TimeBounds{KnownAt: last.Add(time.Second)}), Next: 5, Confirmed: now})
 		Expect([]time.Time{got.After, got.Missed}).To(Equal([]time.Time{last, last}))
-		Expect(got.Origin.Evidence).To(Equal(dating.EarlierReading))
+		Expect(got.Source.Evidence).To(Equal(dating.EarlierRead))
 	})
 
 	It("is dated by the last reading where what its source tells contradicts itself", func() {
-		told := dating.Bracket{After: now.Add(-time.Second), Had: now.Add(-2 * time.Second)}
+		told := dating.TimeBounds{After: now.Add(-time.Second), KnownAt: now.Add(-2 * time.Second)}
 		l.Take(Batch{Records: record(told), Next: 5, Confirmed: now})
 		Expect(got.After).To(Equal(last))
 	})
 
 	It("keeps its first date where the same value is written again", func() {
-		l.Take(Batch{Records: record(dating.Bracket{}), Next: 5, Confirmed: now, Settled: now})
+		l.Take(Batch{Records: record(dating.TimeBounds{}), Next: 5, Confirmed: now, Settled: now})
 		now = now.Add(time.Second)
-		again := record(dating.Bracket{})
+		again := record(dating.TimeBounds{})
 		again[0].At = 5
 		l.Take(Batch{Records: again, Next: 6, Confirmed: now, Settled: now})
 		Expect(l.entries["version"].At).To(Equal(id.Position(5)))
@@ -73,7 +73,7 @@
 		read := now.Add(-awayFor - time.Second)
 		back := now
 		source.Take(Batch{Whole: true, Next: 4, Confirmed: read, Settled: read, Own: true})
-		source.Take(Batch{Records: record(dating.Bracket{}), Next: 5, Confirmed: now, Settled: now, Away: back, Own: true, Steady: true})
+		source.Take(Batch{Records: record(dating.TimeBounds{}), Next: 5, Confirmed: now, Settled: now, Away: back, Own: true, Steady: true})
 		now = now.Add(time.Second + 1500*time.Microsecond)
 		c, _, _ := source.Since(Position{Epoch: source.epoch, Next: 4})
 		t := tell("t", c)
@@ -82,9 +82,9 @@
 		f := &Follower{now: clock}
 		_, err := f.take(l, t, now)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(got.Origin.Evidence).To(Equal(dating.Return))
+		Expect(got.Source.Evidence).To(Equal(dating.StoreReturn))
 		Expect(got.After).To(BeTemporally("~", back, time.Millisecond))
-		Expect(got.Had).To(BeTemporally("~", back, time.Millisecond))
-		Expect(got.Had).To(BeTemporally(">=", got.After))
+		Expect(got.KnownAt).To(BeTemporally("~", back, time.Millisecond))
+		Expect(got.KnownAt).To(BeTemporally(">=", got.After))
 	})
 })
--- a/internal/reports/subscriber.go
+++ b/internal/reports/subscriber.go
@@ -278,9 +278,9 @@
 	if n == nil {
 		return
 	}
-	d := dating.Bracket{Origin: dating.Told(n.GetOrigin())}
+	d := dating.TimeBounds{Source: dating.SourceFromProto(n.GetOrigin())}
 	if n.GetHadMs() >= 0 {
-		d.Had = s.now().Add(-time.Duration(n.GetHadMs()) * time.Millisecond)
+		d.KnownAt = s.now().Add(-time.Duration(n.GetHadMs()) * time.Millisecond)
 	}
 	if n.GetAgeMs() >= 0 && !made.IsZero() {
 		d.After = made.Add(-time.Duration(n.GetAgeMs()) * time.Millisecond)
@@ -293,7 +293,7 @@
 		return
 	}
 	s.log.Info().Str("model", n.GetModel()).Uint64("revision", n.GetRevision()).Stringer("date", o).Time("named_after", d.After).
-		Time("had", d.Had).Str("upstream", upstream).Str("by", d.Origin.By).Stringer("evidence", d.Origin.Evidence).
+		Time("had", d.KnownAt).Str("upstream", upstream).Str("by", d.Source.Observer).Stringer("evidence", d.Source.Evidence).
 		Msg("a report dates the naming of weights")
 }
 
--- a/internal/stager/part.go
+++ b/internal/stager/part.go
@@ -289,9 +289,9 @@
 	}
 	now, d := s.now(), g.wanted.Date
 	n := &pb.NamedWeights{
-		Model: string(g.model), Revision: uint64(g.wanted.Revision), AgeMs: -1, HadMs: now.Sub(d.Had).Milliseconds(), Origin: d.Origin.Tell(),
+		Model: string(g.model), Revision: uint64(g.wanted.Revision), AgeMs: -1, HadMs: now.Sub(d.KnownAt).Milliseconds(), Origin: d.Source.Proto(),
 	}
-	oldest := d.Had
+	oldest := d.KnownAt
 	if !d.After.IsZero() {
 		n.AgeMs, oldest = now.Sub(d.After).Milliseconds()+1, d.After
 	}
--- a/internal/stager/stager_test.go
+++ b/internal/stager/stager_test.go
@@ -283,10 +283,10 @@
 		f.SetWanted("m", facts.Naming{Revision: 2})
 		Expect(s.named().GetAgeMs()).To(BeNumerically("<", 0), "it is not known since when")
 		Expect(s.named().GetHadMs()).To(BeNumerically("<", 1000), "that this process has read of it is")
-		f.Date("m", 2, dating.Bracket{After: time.Now().Add(-2 * time.Second)})
+		f.Date("m", 2, dating.TimeBounds{After: time.Now().Add(-2 * time.Second)})
 		Expect(s.named().GetRevision()).To(Equal(uint64(2)))
 		Expect(s.named().GetAgeMs()).To(BeNumerically("~", 2000, 500))
-		f.SetWanted("m", facts.Naming{Revision: 3, Date: dating.Bracket{After: time.Now().Add(-2 * tellNaming)}})
+		f.SetWanted("m", facts.Naming{Revision: 3, Date: dating.TimeBounds{After: time.Now().Add(-2 * tellNaming)}})
 		Expect(s.named()).To(BeNil(), "it is over")
 	})
 
@@ -402,5 +402,5 @@
 
 // namedAt is the naming of a version at a moment.
 func namedAt(r id.Revision, t time.Time) facts.Naming {
-	return facts.Naming{Revision: r, Date: dating.Bracket{After: t}, Missed: t}
+	return facts.Naming{Revision: r, Date: dating.TimeBounds{After: t}, Missed: t}
 }
