--- a/internal/decide/version.go
+++ b/internal/decide/version.go
@@ -78,26 +78,26 @@
 		return
 	}
 	wait := swapplan.LoadAt(v).Sub(p.now())
-	needless := e.use(&v) == swapplan.Needless
+	needless := e.use(&v) == swapplan.Unneeded
 	if wait <= 0 && !needless {
-		e.close(v.HeldUntil.Add(swapplan.CloseBefore))
+		e.close(v.ServableUntil.Add(swapplan.CloseMargin))
 		return
 	}
 	if needless {
-		wait = swapplan.TurnLook
+		wait = swapplan.PlanCheckInterval
 	}
-	e.waiting = p.after(min(wait, swapplan.TurnLook), e.turn)
+	e.waiting = p.after(min(wait, swapplan.PlanCheckInterval), e.turn)
 }
 
 // view is what the plan of the change-over rests on.
-func (e *engine) view() (swapplan.View, bool) {
+func (e *engine) view() (swapplan.Inputs, bool) {
 	p := e.play
 	within := seconds(p.scenario.SwapWithin)
 	until := p.news.Until(model, e.held, within)
 	if until.IsZero() {
-		return swapplan.View{}, false
+		return swapplan.Inputs{}, false
 	}
-	v := swapplan.View{Staged: e.stagedAt, HeldUntil: until.Add(-swapplan.CloseBefore), Out: e.usualOut()}
+	v := swapplan.Inputs{StagedAt: e.stagedAt, ServableUntil: until.Add(-swapplan.CloseMargin), SwapDuration: e.usualOut()}
 	vms := []id.VM{id.VM(e.address)}
 	for _, o := range p.engines {
 		if o == e || o.domain != e.domain {
@@ -107,17 +107,17 @@
 		if o.held == 0 || o.held >= e.held {
 			continue
 		}
-		if end := p.news.Until(model, o.held, within).Add(-swapplan.CloseBefore); end.After(v.OlderUntil) {
-			v.OlderUntil = end
+		if end := p.news.Until(model, o.held, within).Add(-swapplan.CloseMargin); end.After(v.OlderServableUntil) {
+			v.OlderServableUntil = end
 		}
 	}
 	v.Rank, v.Size = rendezvous.Rank(fmt.Sprintf("%s@%d", model, e.staged), vms, id.VM(e.address)), len(vms)
-	v.Bridge = e.use(&v) == swapplan.Bridges
+	v.BridgeOnly = e.use(&v) == swapplan.BridgesGap
 	return v, true
 }
 
 // use is what the staged version is still good for.
-func (e *engine) use(v *swapplan.View) swapplan.Use {
+func (e *engine) use(v *swapplan.Inputs) swapplan.Need {
 	p := e.play
 	for _, c := range e.coming {
 		if c.revision <= e.staged || p.at < c.begins+ms(p.scenario.Reports.NewsMs) {
@@ -125,8 +125,8 @@
 		}
 		const all = 1000
 		share := float64(p.at-c.begins) / float64(max(1, c.staged-c.begins))
-		n := swapplan.Next{Begun: p.start.Add(c.begins), Held: int(min(1, share) * all), All: all, Usual: e.usualTransfer()}
-		return swapplan.UseOf(v.HeldUntil, v.Out, n, p.now())
+		n := swapplan.NextVersion{StartedAt: p.start.Add(c.begins), ChunksHeld: int(min(1, share) * all), ChunksTotal: all, UsualDuration: e.usualTransfer()}
+		return swapplan.NeedFor(v.ServableUntil, v.SwapDuration, n, p.now())
 	}
 	return swapplan.Needed
 }
@@ -143,7 +143,7 @@
 
 func (e *engine) usualOut() time.Duration {
 	if e.out == 0 {
-		return swapplan.LoadTakes
+		return swapplan.DefaultSwapDuration
 	}
 	return e.out
 }
@@ -157,7 +157,7 @@
 	cut := p.way.cut && until.Sub(p.now()) > cutBefore
 	e.closed, e.closedAt, e.order = true, p.at, e.staged
 	e.urgent()
-	e.step = p.after(swapplan.LastSends, func() { e.drain(cut) })
+	e.step = p.after(swapplan.LateArrivalWait, func() { e.drain(cut) })
 }
 
 // drain waits for what runs, or for what waits where nothing is cut.
@@ -200,9 +200,9 @@
 // drainMost is how long an engine is given to finish what runs.
 func (w *Way) drainMost() time.Duration {
 	if w.drain > 0 {
-		return time.Duration(w.drain * float64(swapplan.DrainMost))
+		return time.Duration(w.drain * float64(swapplan.MaxDrain))
 	}
-	return swapplan.DrainMost
+	return swapplan.MaxDrain
 }
 
 // idle loads the ordered version once nothing runs any more.
@@ -220,7 +220,7 @@
 	p := e.play
 	e.held, e.closed, e.loading = r, false, false
 	took := p.at - e.closedAt
-	e.out = e.usualOut() + time.Duration(swapplan.OutWeight*float64(took-e.usualOut()))
+	e.out = e.usualOut() + time.Duration(swapplan.SwapDurationWeight*float64(took-e.usualOut()))
 	e.urgent()
 	e.kick()
 	e.turn()
--- a/internal/stager/load.go
+++ b/internal/stager/load.go
@@ -99,7 +99,7 @@
 		return
 	}
 	left := s.now().Sub(g.wanted.Learnt) / time.Duration(held) * time.Duration(all-held)
-	if left <= swapplan.LastSends {
+	if left <= swapplan.LateArrivalWait {
 		g.closedAhead = true
 		s.setClosed(true)
 	}
@@ -173,8 +173,8 @@
 	s.mu.Lock()
 	closedAt := s.closedAt
 	s.mu.Unlock()
-	until := closedAt.Add(swapplan.DrainMost)
-	kernel.Pause(ctx, closedAt.Add(swapplan.LastSends).Sub(s.now()))
+	until := closedAt.Add(swapplan.MaxDrain)
+	kernel.Pause(ctx, closedAt.Add(swapplan.LateArrivalWait).Sub(s.now()))
 	for ctx.Err() == nil && s.now().Before(until) {
 		state, err := s.ports.Upstream.State(ctx)
 		if err != nil || state.Waiting == 0 {
--- a/internal/stager/part.go
+++ b/internal/stager/part.go
@@ -141,7 +141,7 @@
 	t := transfer.NewSettings()
 	t.Uploads, t.Downloads, t.Patience, t.DrawTimeout = uploads, downloads, patience, drawTimeout
 	t.QueueMost, t.HaveEvery = queueMost, newsEvery
-	st := &Stager{down: true, out: swapplan.LoadTakes, settings: s, ports: p, facts: f, log: g, now: clock.Now, peers: l, orders: new(expvar.Map)}
+	st := &Stager{down: true, out: swapplan.DefaultSwapDuration, settings: s, ports: p, facts: f, log: g, now: clock.Now, peers: l, orders: new(expvar.Map)}
 	f.Watch(p.Address)
 	st.env = transfer.Env{
 		Settings: t, Self: self, Shelf: transfer.NewShelf(int64(s.MemoryBytes)), Log: g, Events: e, Stats: &st.stats,
--- a/internal/stager/plan.go
+++ b/internal/stager/plan.go
@@ -13,14 +13,14 @@
 
 // view is what the plan for this upstream rests on, and whether there is anything to plan: an upstream that gets no
 // requests as it is may load at once.
-func (s *Stager) view(g *goal, staged time.Time) (swapplan.View, bool) {
+func (s *Stager) view(g *goal, staged time.Time) (swapplan.Inputs, bool) {
 	state, _ := s.current()
 	held := facts.Revision(state.Held, g.model)
 	until := s.facts.Until(g.model, held, s.settings.SwapWithin)
 	if held == 0 || until.IsZero() || g.wanted.Learnt.IsZero() {
-		return swapplan.View{}, false
+		return swapplan.Inputs{}, false
 	}
-	v := swapplan.View{Staged: staged, HeldUntil: until.Add(-swapplan.CloseBefore), Out: s.expectedOut()}
+	v := swapplan.Inputs{StagedAt: staged, ServableUntil: until.Add(-swapplan.CloseMargin), SwapDuration: s.expectedOut()}
 	vms := []id.VM{s.env.Self.VM}
 	for _, i := range s.facts.Instances() {
 		if i.Pool != g.pool || i.Domain != s.env.Self.Domain || i.Address == s.ports.Address {
@@ -31,24 +31,24 @@
 		if other == 0 || other >= held {
 			continue
 		}
-		if end := s.facts.Until(g.model, other, s.settings.SwapWithin).Add(-swapplan.CloseBefore); end.After(v.OlderUntil) {
-			v.OlderUntil = end
+		if end := s.facts.Until(g.model, other, s.settings.SwapWithin).Add(-swapplan.CloseMargin); end.After(v.OlderServableUntil) {
+			v.OlderServableUntil = end
 		}
 	}
 	v.Rank, v.Size = rendezvous.Rank(g.name(), vms, s.env.Self.VM), len(vms)
-	v.Bridge = s.use(g, &v) == swapplan.Bridges
+	v.BridgeOnly = s.use(g, &v) == swapplan.BridgesGap
 	return v, true
 }
 
 // use is what a version is still good for: the newest is always needed.
-func (s *Stager) use(g *goal, v *swapplan.View) swapplan.Use {
+func (s *Stager) use(g *goal, v *swapplan.Inputs) swapplan.Need {
 	n := g.newer.Load()
 	if n == nil {
 		return swapplan.Needed
 	}
 	held, all := n.holding.Count()
-	next := swapplan.Next{Begun: n.begun, Held: held, All: all, Usual: v.Staged.Sub(g.wanted.Learnt)}
-	return swapplan.UseOf(v.HeldUntil, v.Out, next, s.now())
+	next := swapplan.NextVersion{StartedAt: n.begun, ChunksHeld: held, ChunksTotal: all, UsualDuration: v.StagedAt.Sub(g.wanted.Learnt)}
+	return swapplan.NeedFor(v.ServableUntil, v.SwapDuration, next, s.now())
 }
 
 // loadAt is when this upstream is to stop taking requests for a version that is whole at a moment.
@@ -69,14 +69,14 @@
 			return
 		}
 		wait := swapplan.LoadAt(v).Sub(s.now())
-		needless := s.use(g, &v) == swapplan.Needless
+		needless := s.use(g, &v) == swapplan.Unneeded
 		if wait <= 0 && !needless {
 			return
 		}
 		if needless {
-			wait = swapplan.TurnLook
+			wait = swapplan.PlanCheckInterval
 		}
-		kernel.Pause(ctx, min(wait, swapplan.TurnLook))
+		kernel.Pause(ctx, min(wait, swapplan.PlanCheckInterval))
 	}
 }
 
@@ -85,7 +85,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	took := s.now().Sub(s.closedAt)
-	s.out += time.Duration(swapplan.OutWeight * float64(took-s.out))
+	s.out += time.Duration(swapplan.SwapDurationWeight * float64(took-s.out))
 }
 
 // expectedOut is how long a change-over is expected to take.
--- a/internal/stager/plan_test.go
+++ b/internal/stager/plan_test.go
@@ -25,7 +25,7 @@
 			address := string(rune('a' + i))
 			s := &Stager{
 				facts: f, ports: &Ports{Address: address}, now: func() time.Time { return now },
-				settings: &Settings{SwapWithin: 8 * time.Second}, out: swapplan.LoadTakes, state: State{Held: []facts.Held{{Model: "m", Revision: 1}}},
+				settings: &Settings{SwapWithin: 8 * time.Second}, out: swapplan.DefaultSwapDuration, state: State{Held: []facts.Held{{Model: "m", Revision: 1}}},
 			}
 			s.env.Self = swarm.Member{VM: id.VM(address), Domain: "d"}
 			g := &goal{model: "m", pool: "p", wanted: f.Wanted("m")}
@@ -34,7 +34,7 @@
 		Expect(at).To(HaveLen(9))
 		for d, n := range at {
 			Expect(n).To(Equal(1))
-			Expect(d).To(And(BeNumerically(">=", 3*time.Second), BeNumerically("<=", 8*time.Second-swapplan.CloseBefore)))
+			Expect(d).To(And(BeNumerically(">=", 3*time.Second), BeNumerically("<=", 8*time.Second-swapplan.CloseMargin)))
 		}
 	})
 
@@ -61,9 +61,9 @@
 		e := newEngine()
 		s, f := start(e, 4*time.Second)
 		Eventually(e.serves).WithTimeout(soon).Should(Equal(id.Revision(1)))
-		Expect(s.expectedOut()).To(Equal(swapplan.LoadTakes))
+		Expect(s.expectedOut()).To(Equal(swapplan.DefaultSwapDuration))
 		f.SetWanted("m", named(2))
 		Eventually(e.serves).WithTimeout(soon).Should(Equal(id.Revision(2)))
-		Eventually(s.expectedOut).WithTimeout(soon).Should(BeNumerically("<", swapplan.LoadTakes), "nothing ran here, so it was quick")
+		Eventually(s.expectedOut).WithTimeout(soon).Should(BeNumerically("<", swapplan.DefaultSwapDuration), "nothing ran here, so it was quick")
 	})
 })
--- a/internal/stager/stager_test.go
+++ b/internal/stager/stager_test.go
@@ -331,7 +331,7 @@
 		s.mu.Unlock()
 		Eventually(e.serves).WithTimeout(soon).Should(Equal(id.Revision(2)))
 		e.do(func() {
-			Expect(e.orderedAt.Sub(closedAt)).To(BeNumerically("<", swapplan.DrainMost), "what runs is left to the upstream")
+			Expect(e.orderedAt.Sub(closedAt)).To(BeNumerically("<", swapplan.MaxDrain), "what runs is left to the upstream")
 		})
 		Eventually(closed).WithTimeout(soon).Should(BeFalse())
 	})
--- a/internal/stager/work.go
+++ b/internal/stager/work.go
@@ -167,7 +167,7 @@
 	go next.download.Run(ctx)
 	g.newer.Store(next)
 	for ctx.Err() == nil && !g.loading.Load() {
-		if v, ok := s.view(g, s.now()); !ok || s.now().After(v.HeldUntil) || s.superseded(next) {
+		if v, ok := s.view(g, s.now()); !ok || s.now().After(v.ServableUntil) || s.superseded(next) {
 			stop(errSuperseded)
 			return
 		}
