--- a/internal/activation/turn.go
+++ b/internal/activation/turn.go
@@ -14,19 +14,19 @@
 type Replica struct {
 	VM    id.VM
 	State pb.ReplicaState
-	// Serving is true when the VM's engine serves another version of the model, which a swap would take away.
-	Serving bool
+	// ServesOther is true when the VM's engine serves another version of the model, which a swap would take away.
+	ServesOther bool
 }
 
-// Wave is the number of VMs of a failure domain that may swap at one time.
-func Wave(targets int, share float64) int {
+// WaveSize is the number of VMs of a failure domain that may swap at one time.
+func WaveSize(targets int, share float64) int {
 	return max(1, int(float64(targets)*share))
 }
 
-// MayGo says whether a VM may order its engine to load, so that at most wave VMs are out of service at one time. Out
+// MaySwap says whether a VM may order its engine to load, so that at most wave VMs are out of service at one time. Out
 // are those that load or have failed to, and those whose turn was given and who have not said so yet. A VM whose engine
 // serves nothing of the model takes nothing away and loads as soon as it is complete.
-func MayGo(r *pb.Rollout, v id.VM, replicas []Replica, given []id.VM, wave int, now time.Time) bool {
+func MaySwap(r *pb.Rollout, v id.VM, replicas []Replica, given []id.VM, wave int, now time.Time) bool {
 	out := map[id.VM]bool{}
 	serving := false
 	for _, g := range given {
@@ -39,7 +39,7 @@
 		case pb.ReplicaState_REPLICA_STATE_READY:
 			delete(out, p.VM)
 		}
-		serving = serving || p.VM == v && p.Serving
+		serving = serving || p.VM == v && p.ServesOther
 	}
 	if out[v] || !serving {
 		return true
@@ -47,9 +47,9 @@
 	return !now.Before(config.NotBefore(r)) && len(out) < wave
 }
 
-// Open says whether a failure domain sends traffic to a rollout's version. It is all or nothing per domain, and a
+// AcceptsTraffic says whether a failure domain sends traffic to a rollout's version. It is all or nothing per domain, and a
 // domain that is cut off decides from its own replicas.
-func Open(r *pb.Rollout, ready int, now time.Time) bool {
+func AcceptsTraffic(r *pb.Rollout, ready int, now time.Time) bool {
 	if r.GetState() == pb.RolloutState_ROLLOUT_STATE_CANCELLED {
 		return false
 	}
--- a/internal/activation/turn_test.go
+++ b/internal/activation/turn_test.go
@@ -33,22 +33,22 @@
 	It("never have more than the wave out, and let all VMs swap in the end, in any order of asking and loading", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			n := rapid.IntRange(1, 12).Draw(t, "vms")
-			wave := Wave(n, rapid.Float64Range(0.01, 1).Draw(t, "share"))
+			wave := WaveSize(n, rapid.Float64Range(0.01, 1).Draw(t, "share"))
 			var l []Replica
 			for i := range n {
-				l = append(l, Replica{VM: id.VM(fmt.Sprint(i)), State: pb.ReplicaState_REPLICA_STATE_COMPLETE, Serving: true})
+				l = append(l, Replica{VM: id.VM(fmt.Sprint(i)), State: pb.ReplicaState_REPLICA_STATE_COMPLETE, ServesOther: true})
 			}
 			r := &pb.Rollout{}
 			var given []id.VM
 			step := func(i int, ask bool) {
 				switch {
 				case ask && l[i].State == pb.ReplicaState_REPLICA_STATE_COMPLETE:
-					if MayGo(r, l[i].VM, l, given, wave, time.Unix(1, 0)) {
+					if MaySwap(r, l[i].VM, l, given, wave, time.Unix(1, 0)) {
 						given = append(given, l[i].VM)
 						l[i].State = pb.ReplicaState_REPLICA_STATE_LOADING
 					}
 				case !ask && l[i].State == pb.ReplicaState_REPLICA_STATE_LOADING:
-					l[i].State, l[i].Serving = pb.ReplicaState_REPLICA_STATE_READY, false
+					l[i].State, l[i].ServesOther = pb.ReplicaState_REPLICA_STATE_READY, false
 				}
 				if out(l) > wave {
 					t.Fatalf("%d out with a wave of %d", out(l), wave)
@@ -73,16 +73,16 @@
 
 	It("wait for the rollout's time where a swap would take a version away, and not where there is none", func() {
 		r := &pb.Rollout{NotBeforeUnixMs: 2000}
-		serving := []Replica{{VM: "a", State: pb.ReplicaState_REPLICA_STATE_COMPLETE, Serving: true}}
+		serving := []Replica{{VM: "a", State: pb.ReplicaState_REPLICA_STATE_COMPLETE, ServesOther: true}}
 		fresh := []Replica{{VM: "a", State: pb.ReplicaState_REPLICA_STATE_COMPLETE}}
-		Expect(MayGo(r, "a", serving, nil, 1, time.UnixMilli(1999))).To(BeFalse())
-		Expect(MayGo(r, "a", serving, nil, 1, time.UnixMilli(2000))).To(BeTrue())
-		Expect(MayGo(r, "a", fresh, nil, 1, time.UnixMilli(1))).To(BeTrue())
+		Expect(MaySwap(r, "a", serving, nil, 1, time.UnixMilli(1999))).To(BeFalse())
+		Expect(MaySwap(r, "a", serving, nil, 1, time.UnixMilli(2000))).To(BeTrue())
+		Expect(MaySwap(r, "a", fresh, nil, 1, time.UnixMilli(1))).To(BeTrue())
 	})
 
 	DescribeTable("open a domain", func(want bool, ready int, at int64, state pb.RolloutState) {
 		r := &pb.Rollout{MinReady: 2, NotBeforeUnixMs: 1000, State: state}
-		Expect(Open(r, ready, time.UnixMilli(at))).To(Equal(want))
+		Expect(AcceptsTraffic(r, ready, time.UnixMilli(at))).To(Equal(want))
 	},
 		Entry("ready and in time", true, 2, int64(1000), pb.RolloutState_ROLLOUT_STATE_ACTIVE),
 		Entry("too few", false, 1, int64(1000), pb.RolloutState_ROLLOUT_STATE_ACTIVE),
--- a/internal/router/open.go
+++ b/internal/router/open.go
@@ -33,7 +33,7 @@
 	for _, r := range rollouts {
 		for d, ready := range readyByDomain(r, s, statuses) {
 			k := gate{rollout: id.Rollout(r.GetId()), domain: d}
-			if !g.open[k] && activation.Open(r, ready, now) {
+			if !g.open[k] && activation.AcceptsTraffic(r, ready, now) {
 				g.open[k] = true
 				opened = append(opened, &pb.DomainProgress{Rollout: r.GetId(), Domain: string(d), Ready: uint32(ready)})
 			}
--- a/internal/spread/turn.go
+++ b/internal/spread/turn.go
@@ -42,8 +42,8 @@
 	name, v := id.Rollout(r.GetId()), id.VM(s.GetVm().GetId())
 	replicas := Replicas(r, s, t.statuses())
 	given := t.current(name)
-	wave := activation.Wave(len(replicas), t.share)
-	if !activation.MayGo(r, v, replicas, given, wave, t.now()) {
+	wave := activation.WaveSize(len(replicas), t.share)
+	if !activation.MaySwap(r, v, replicas, given, wave, t.now()) {
 		return false
 	}
 	if t.given[name] == nil {
@@ -93,7 +93,7 @@
 	for _, v := range s.GetLive() {
 		if v.GetOrganisation() == r.GetOrganisation() && v.GetModel() == r.GetVersion().GetModel() &&
 			v.GetRollout() != r.GetId() {
-			p.Serving = true
+			p.ServesOther = true
 		}
 	}
 	return p
