--- a/internal/decide/door.go
+++ b/internal/decide/door.go
@@ -36,7 +36,7 @@
 	count := func() int { return len(p.doors) }
 	rule := placement.BudgetRule{Ratio: settings.RepeatRatio, Slack: settings.RepeatSlack, Window: settings.RepeatWindow}
 	d.budget = placement.NewBudget(rule, count, p.now)
-	d.facts.SetWanted(model, facts.Naming{Revision: 1, Date: dating.TimeBounds{After: p.now()}})
+	d.facts.SetWanted(model, facts.Publication{Revision: 1, PublishTime: dating.TimeBounds{After: p.now()}})
 	d.desk = &gateway.Desk{
 		Facts: d.facts, Domain: domain, SwapWithin: seconds(p.scenario.SwapWithin), Now: p.now, Random: func() *rand.Rand { return r },
 		Load: gateway.Load{Tracker: d.tracker, Offers: d.offers, Demand: func(id.Pool) placement.Demand { return d.demand() }, Gateways: count},
@@ -54,7 +54,7 @@
 func (d *door) list(e *engine) {
 	d.seen++
 	d.facts.SetInstance(&facts.Instance{
-		ID: e.name, Born: e.born, Pool: pool, Address: e.address, Domain: e.domain, Slots: d.play.scenario.Engine.Slots, Held: e.holds(), Seen: id.Position(d.seen),
+		ID: e.name, Born: e.born, Pool: pool, Address: e.address, Domain: e.domain, Slots: d.play.scenario.Engine.Slots, Held: e.holds(), ListPosition: id.Position(d.seen),
 	})
 }
 
--- a/internal/decide/play.go
+++ b/internal/decide/play.go
@@ -51,7 +51,7 @@
 	p := &play{clock: newClock(), scenario: s, way: w, links: stream(seed, seedLinks), requests: s.demand(seed)}
 	p.configure()
 	p.news = facts.New(p.now)
-	p.news.SetWanted(model, facts.Naming{Revision: 1, Date: dating.TimeBounds{After: p.now()}})
+	p.news.SetWanted(model, facts.Publication{Revision: 1, PublishTime: dating.TimeBounds{After: p.now()}})
 	upstreams, random := stream(seed, seedUpstreams), stream(seed, seedGateways)
 	for i := range s.Domains {
 		p.addDomain(i, upstreams, random)
--- a/internal/decide/version.go
+++ b/internal/decide/version.go
@@ -40,7 +40,7 @@
 	at := seconds(v.Named)
 	named := p.start.Add(at)
 	p.on(at+ms(p.scenario.Reports.NewsMs), func() {
-		n := facts.Naming{Revision: r, Date: dating.TimeBounds{After: named}, Missed: named}
+		n := facts.Publication{Revision: r, PublishTime: dating.TimeBounds{After: named}, CompleteUntil: named}
 		p.news.SetWanted(model, n)
 		for _, d := range p.doors {
 			d.facts.SetWanted(model, n)
@@ -74,7 +74,7 @@
 	}
 	v, ok := e.view()
 	if !ok || p.way.atOnce {
-		e.close(p.news.Until(model, e.held, seconds(p.scenario.SwapWithin)))
+		e.close(p.news.ServableUntil(model, e.held, seconds(p.scenario.SwapWithin)))
 		return
 	}
 	wait := swapplan.LoadAt(v).Sub(p.now())
@@ -93,7 +93,7 @@
 func (e *engine) view() (swapplan.Inputs, bool) {
 	p := e.play
 	within := seconds(p.scenario.SwapWithin)
-	until := p.news.Until(model, e.held, within)
+	until := p.news.ServableUntil(model, e.held, within)
 	if until.IsZero() {
 		return swapplan.Inputs{}, false
 	}
@@ -107,7 +107,7 @@
 		if o.held == 0 || o.held >= e.held {
 			continue
 		}
-		if end := p.news.Until(model, o.held, within).Add(-swapplan.CloseMargin); end.After(v.OlderServableUntil) {
+		if end := p.news.ServableUntil(model, o.held, within).Add(-swapplan.CloseMargin); end.After(v.OlderServableUntil) {
 			v.OlderServableUntil = end
 		}
 	}
@@ -235,7 +235,7 @@
 
 // overdue says whether the engine's version may take no new requests any more.
 func (e *engine) overdue() bool {
-	until := e.play.news.Until(model, e.held, seconds(e.play.scenario.SwapWithin))
+	until := e.play.news.ServableUntil(model, e.held, seconds(e.play.scenario.SwapWithin))
 	return !until.IsZero() && e.play.now().After(until)
 }
 
--- a/internal/facts/absence.go
+++ b/internal/facts/absence.go
@@ -12,9 +12,9 @@
 // within about two seconds (the users' letter).
 const lapseGrace = 2 * time.Second
 
-// Absences decides when an upstream without an entry in the list is taken as gone: at once, or after a grace where the
+// AbsenceTracker decides when an upstream without an entry in the list is taken as gone: at once, or after a grace where the
 // list was away. It is used by one goroutine.
-type Absences struct {
+type AbsenceTracker struct {
 	facts *Facts
 	now   func() time.Time
 	log   *log.Logger
@@ -30,55 +30,55 @@
 	offset id.Position
 }
 
-// NewAbsences makes an empty set of absences.
-func NewAbsences(f *Facts, now func() time.Time, l *log.Logger) *Absences {
-	return &Absences{facts: f, now: now, log: l, due: map[id.Instance]absence{}}
+// NewAbsenceTracker makes an empty set of absences.
+func NewAbsenceTracker(f *Facts, now func() time.Time, l *log.Logger) *AbsenceTracker {
+	return &AbsenceTracker{facts: f, now: now, log: l, due: map[id.Instance]absence{}}
 }
 
-// Returned notes that the list is to be had again after it was away.
-func (a *Absences) Returned() {
+// NoteListReturned notes that the list is to be had again after it was away.
+func (a *AbsenceTracker) NoteListReturned() {
 	a.until = a.now().Add(lapseGrace)
 }
 
-// GraceUntil takes over another process's grace, which may have seen the list go and return.
-func (a *Absences) GraceUntil(t time.Time) {
+// ExtendGrace takes over another process's grace, which may have seen the list go and return.
+func (a *AbsenceTracker) ExtendGrace(t time.Time) {
 	if t.After(a.until) {
 		a.until = t
 	}
 }
 
-// Grace is what is left of the grace.
-func (a *Absences) Grace() time.Duration {
+// RemainingGrace is what is left of the grace.
+func (a *AbsenceTracker) RemainingGrace() time.Duration {
 	return max(0, a.until.Sub(a.now()))
 }
 
-// Note takes a change of the list: an upstream's entry was written, or is gone.
-func (a *Absences) Note(n id.Instance, listed bool) {
+// NoteEntry takes a change of the list: an upstream's entry was written, or is gone.
+func (a *AbsenceTracker) NoteEntry(n id.Instance, listed bool) {
 	if listed {
 		delete(a.due, n)
 		return
 	}
 	if a.facts.Instance(n) != nil {
-		a.due[n] = absence{until: a.until, offset: a.facts.Position()}
+		a.due[n] = absence{until: a.until, offset: a.facts.ListPosition()}
 	}
 }
 
-// KeepOnly takes a whole list: upstreams that are not in it have no entry.
-func (a *Absences) KeepOnly(l []id.Instance) {
+// SetListed takes a whole list: upstreams that are not in it have no entry.
+func (a *AbsenceTracker) SetListed(l []id.Instance) {
 	listed := map[id.Instance]bool{}
 	for _, n := range l {
 		listed[n] = true
 	}
 	for _, n := range a.facts.known() {
 		if !listed[n] {
-			a.due[n] = absence{until: a.until, offset: a.facts.Position()}
+			a.due[n] = absence{until: a.until, offset: a.facts.ListPosition()}
 		}
 	}
 	a.Sweep()
 }
 
 // Sweep drops the upstreams whose grace is over.
-func (a *Absences) Sweep() {
+func (a *AbsenceTracker) Sweep() {
 	now := a.now()
 	for n, due := range a.due {
 		if now.Before(due.until) {
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -30,12 +30,12 @@
 	Slots   int
 	Leaving bool
 	Held    []Held
-	// Seen orders what the list says: of two entries, the one with the higher number was written later.
-	Seen id.Position
+	// ListPosition orders what the list says: of two entries, the one with the higher number was written later.
+	ListPosition id.Position
 }
 
-// Revision finds a model in a list; 0 is none.
-func Revision(l []Held, m id.Model) id.Revision {
+// HeldRevision finds a model in a list; 0 is none.
+func HeldRevision(l []Held, m id.Model) id.Revision {
 	for _, h := range l {
 		if h.Model == m {
 			return h.Revision
@@ -110,8 +110,8 @@
 		return false
 	}
 	f.instances[i.ID] = i
-	f.readTo = max(f.readTo, i.Seen)
-	if old != nil && old.Leaving && !i.Leaving && !old.Born.Before(i.Born) && old.Seen.Era() < i.Seen.Era() {
+	f.readTo = max(f.readTo, i.ListPosition)
+	if old != nil && old.Leaving && !i.Leaving && !old.Born.Before(i.Born) && old.ListPosition.Era() < i.ListPosition.Era() {
 		// The store came back from a copy of before it said so.
 		f.addLeaver(i.ID, i.Born)
 	}
@@ -132,7 +132,7 @@
 		return
 	}
 	if f.watch.at(i.Address) {
-		f.watched(Word{Instance: n, Born: i.Born, Left: true, At: max(offset, i.Seen)})
+		f.watched(Announcement{Instance: n, Born: i.Born, Left: true, Position: max(offset, i.ListPosition)})
 	}
 	delete(f.instances, n)
 	f.end(i)
@@ -179,7 +179,7 @@
 		if !f.served(i) {
 			continue
 		}
-		if h := holder[i.Address]; h == nil || h.Seen < i.Seen {
+		if h := holder[i.Address]; h == nil || h.ListPosition < i.ListPosition {
 			holder[i.Address] = i
 		}
 	}
@@ -206,9 +206,9 @@
 	return f.change
 }
 
-// Heard notes that some process has read the operators' records up to an offset. A reader that waits for them at the
+// NoteConfigOffset notes that some process has read the operators' records up to an offset. A reader that waits for them at the
 // store may be passed over there, and learns of them here.
-func (f *Facts) Heard(offset id.Position) {
+func (f *Facts) NoteConfigOffset(offset id.Position) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if offset <= f.heard {
@@ -219,8 +219,8 @@
 	f.hearing = make(chan struct{})
 }
 
-// Hearing returns the newest offset heard of, and a channel that closes when there is a newer one.
-func (f *Facts) Hearing() (id.Position, <-chan struct{}) {
+// ConfigOffset returns the newest offset heard of, and a channel that closes when there is a newer one.
+func (f *Facts) ConfigOffset() (id.Position, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.heard, f.hearing
@@ -229,8 +229,8 @@
 // gatewayLife is how long a gateway counts after it was last heard of: it is named about once a second.
 const gatewayLife = 5 * time.Second
 
-// SeeGateway notes that a gateway of the own failure domain lives.
-func (f *Facts) SeeGateway(address string) {
+// NoteGateway notes that a gateway of the own failure domain lives.
+func (f *Facts) NoteGateway(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.gateways[address] = f.now().Add(gatewayLife)
--- a/internal/facts/leaving.go
+++ b/internal/facts/leaving.go
@@ -13,9 +13,9 @@
 	listed time.Time
 }
 
-// Leaves notes that a start of a listed instance has said itself, in an answer, that it leaves. That holds for the start for
+// MarkLeaving notes that a start of a listed instance has said itself, in an answer, that it leaves. That holds for the start for
 // good. It is false where that was known.
-func (f *Facts) Leaves(n id.Instance, born id.Birth) bool {
+func (f *Facts) MarkLeaving(n id.Instance, born id.Birth) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.leaves(n, born) {
@@ -36,33 +36,33 @@
 	f.leavers[n] = leaver{born: born, listed: now}
 }
 
-// LeavingBy is who says that an upstream leaves.
-type LeavingBy int
+// LeavingSource is who says that an upstream leaves.
+type LeavingSource int
 
 // The sources: its entry in the list, itself in an answer or in an entry that the list has lost, and the stager beside it.
 const (
-	ByEntry LeavingBy = iota
-	ByAnswer
-	ByStager
+	LeavingByEntry LeavingSource = iota
+	LeavingByAnswer
+	LeavingByStager
 )
 
-// LeavingBy is who says that a listed upstream leaves that does.
-func (f *Facts) LeavingBy(n id.Instance) LeavingBy {
+// LeavingSource is who says that a listed upstream leaves that does.
+func (f *Facts) LeavingSource(n id.Instance) LeavingSource {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	i := f.instances[n]
 	switch {
 	case i != nil && i.Leaving:
-		return ByEntry
+		return LeavingByEntry
 	case i != nil && f.leaves(n, i.Born):
-		return ByAnswer
+		return LeavingByAnswer
 	default:
-		return ByStager
+		return LeavingByStager
 	}
 }
 
-// SaysLeaving says whether a start of an instance has said itself that it leaves.
-func (f *Facts) SaysLeaving(n id.Instance, born id.Birth) bool {
+// AnnouncedLeaving says whether a start of an instance has said itself that it leaves.
+func (f *Facts) AnnouncedLeaving(n id.Instance, born id.Birth) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.leaves(n, born)
--- a/internal/facts/leaving_test.go
+++ b/internal/facts/leaving_test.go
@@ -17,47 +17,47 @@
 	BeforeEach(func() {
 		now = time.Unix(1000, 0)
 		f = New(func() time.Time { return now })
-		f.SetInstance(&Instance{ID: "i", Address: "a", Seen: 3})
+		f.SetInstance(&Instance{ID: "i", Address: "a", ListPosition: 3})
 	})
 	leaving := func() bool { return f.Instances()[0].Leaving }
 
 	It("leaves whatever its entries say, and is news once", func() {
 		changed := f.Changed()
-		Expect(f.Leaves("i", 0)).To(BeTrue())
+		Expect(f.MarkLeaving("i", 0)).To(BeTrue())
 		Expect(changed).To(BeClosed())
-		Expect(f.Leaves("i", 0)).To(BeFalse())
+		Expect(f.MarkLeaving("i", 0)).To(BeFalse())
 		Expect(leaving()).To(BeTrue())
-		f.SetInstance(&Instance{ID: "i", Address: "a", Seen: 9})
-		f.Hear(Word{Instance: "i", Address: "a", At: 20})
+		f.SetInstance(&Instance{ID: "i", Address: "a", ListPosition: 9})
+		f.ApplyAnnouncement(Announcement{Instance: "i", Address: "a", Position: 20})
 		Expect(leaving()).To(BeTrue())
-		Expect(f.SaysLeaving("i", 0)).To(BeTrue())
+		Expect(f.AnnouncedLeaving("i", 0)).To(BeTrue())
 	})
 
 	It("leaves still where its entry goes for a time and comes again", func() {
-		f.Leaves("i", 0)
+		f.MarkLeaving("i", 0)
 		now = now.Add(10 * wordLife)
-		f.SweepWords()
+		f.SweepAnnouncements()
 		f.DropInstance("i", 4)
 		now = now.Add(wordLife)
-		f.SweepWords()
-		f.SetInstance(&Instance{ID: "i", Address: "a", Seen: 5})
+		f.SweepAnnouncements()
+		f.SetInstance(&Instance{ID: "i", Address: "a", ListPosition: 5})
 		Expect(leaving()).To(BeTrue())
 	})
 
 	It("is forgotten once its entry has been gone for long", func() {
-		f.Leaves("i", 0)
+		f.MarkLeaving("i", 0)
 		f.DropInstance("i", 4)
-		f.SweepWords()
+		f.SweepAnnouncements()
 		now = now.Add(wordLife + time.Second)
-		f.SweepWords()
+		f.SweepAnnouncements()
 		Expect(f.leavers).To(BeEmpty())
 	})
 
 	It("is forgotten also by a process that does not sweep, once there are many", func() {
 		for n := range 3 * mostHeard {
 			i := id.Instance(fmt.Sprint("left-", n))
-			f.SetInstance(&Instance{ID: i, Address: "b", Seen: id.Position(n)})
-			f.Leaves(i, 0)
+			f.SetInstance(&Instance{ID: i, Address: "b", ListPosition: id.Position(n)})
+			f.MarkLeaving(i, 0)
 			f.DropInstance(i, id.Position(n))
 			now = now.Add(time.Second)
 		}
@@ -70,48 +70,48 @@
 			Expect(err).NotTo(HaveOccurred())
 			return p
 		}
-		f.SetInstance(&Instance{ID: "i", Address: "a", Seen: 5, Leaving: true})
-		f.SetInstance(&Instance{ID: "i", Address: "a", Seen: 6})
+		f.SetInstance(&Instance{ID: "i", Address: "a", ListPosition: 5, Leaving: true})
+		f.SetInstance(&Instance{ID: "i", Address: "a", ListPosition: 6})
 		Expect(leaving()).To(BeFalse())
-		f.SetInstance(&Instance{ID: "i", Address: "a", Seen: 7, Leaving: true})
-		f.SetInstance(&Instance{ID: "i", Address: "a", Seen: at(1, 2)})
+		f.SetInstance(&Instance{ID: "i", Address: "a", ListPosition: 7, Leaving: true})
+		f.SetInstance(&Instance{ID: "i", Address: "a", ListPosition: at(1, 2)})
 		Expect(leaving()).To(BeTrue())
-		f.SetInstance(&Instance{ID: "i", Address: "a", Seen: at(1, 3)})
+		f.SetInstance(&Instance{ID: "i", Address: "a", ListPosition: at(1, 3)})
 		Expect(leaving()).To(BeTrue())
 	})
 
 	It("says nothing of another start of its ID, nor of another instance at its address", func() {
-		f.SetInstance(&Instance{ID: "j", Address: "b", Born: 5, Seen: 4})
-		f.Leaves("i", 0)
-		f.Leaves("j", 5)
-		f.SetInstance(&Instance{ID: "k", Address: "a", Seen: 8})
-		f.SetInstance(&Instance{ID: "j", Address: "b", Born: 6, Seen: 9})
+		f.SetInstance(&Instance{ID: "j", Address: "b", Born: 5, ListPosition: 4})
+		f.MarkLeaving("i", 0)
+		f.MarkLeaving("j", 5)
+		f.SetInstance(&Instance{ID: "k", Address: "a", ListPosition: 8})
+		f.SetInstance(&Instance{ID: "j", Address: "b", Born: 6, ListPosition: 9})
 		for _, i := range f.Instances() {
 			Expect(i.Leaving).To(BeFalse(), string(i.ID))
 		}
-		Expect(f.SaysLeaving("j", 6)).To(BeFalse())
-		Expect(f.SaysLeaving("j", 5)).To(BeTrue())
+		Expect(f.AnnouncedLeaving("j", 6)).To(BeFalse())
+		Expect(f.AnnouncedLeaving("j", 5)).To(BeTrue())
 	})
 
 	It("never comes back, in whatever order entries, departures and words follow", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			g := New(func() time.Time { return now })
-			g.SetInstance(&Instance{ID: "i", Address: "a", Born: 1, Seen: 1})
+			g.SetInstance(&Instance{ID: "i", Address: "a", Born: 1, ListPosition: 1})
 			said := false
 			for n := range rapid.IntRange(1, 12).Draw(t, "steps") {
 				seen := id.Position(rapid.Uint64Range(1, 20).Draw(t, "offset"))
 				switch rapid.IntRange(0, 4).Draw(t, "step") {
 				case 0:
 					said = true
-					g.Leaves("i", 1)
+					g.MarkLeaving("i", 1)
 				case 1:
-					g.SetInstance(&Instance{ID: "i", Address: "a", Born: id.Birth(1), Seen: seen, Leaving: n%2 == 0})
+					g.SetInstance(&Instance{ID: "i", Address: "a", Born: id.Birth(1), ListPosition: seen, Leaving: n%2 == 0})
 				case 2:
 					g.DropInstance("i", seen)
 				case 3:
-					g.Hear(Word{Instance: "i", Address: "a", Born: 1, At: seen, Left: n%2 == 0})
+					g.ApplyAnnouncement(Announcement{Instance: "i", Address: "a", Born: 1, Position: seen, Left: n%2 == 0})
 				default:
-					g.SweepWords()
+					g.SweepAnnouncements()
 				}
 				for _, i := range g.Instances() {
 					if said && !i.Leaving {
--- a/internal/facts/life_test.go
+++ b/internal/facts/life_test.go
@@ -21,10 +21,10 @@
 		f = New(func() time.Time { return now })
 	})
 	entry := func(born id.Birth, seen id.Position, leaving bool) *Instance {
-		return &Instance{ID: "i", Born: born, Address: "a", Seen: seen, Leaving: leaving}
+		return &Instance{ID: "i", Born: born, Address: "a", ListPosition: seen, Leaving: leaving}
 	}
-	left := func(born id.Birth, offset id.Position) Word {
-		return Word{Instance: "i", Born: born, Address: "a", Left: true, At: offset}
+	left := func(born id.Birth, offset id.Position) Announcement {
+		return Announcement{Instance: "i", Born: born, Address: "a", Left: true, Position: offset}
 	}
 	leaving := func() bool { return f.Instances()[0].Leaving }
 
@@ -63,9 +63,9 @@
 
 	It("have words of their own: that an earlier one has left says nothing of a later one", func() {
 		f.SetInstance(entry(20, 5, false))
-		Expect(f.Hear(left(10, 99))).To(BeFalse())
+		Expect(f.ApplyAnnouncement(left(10, 99))).To(BeFalse())
 		Expect(leaving()).To(BeFalse())
-		Expect(f.Hear(left(20, 99))).To(BeTrue())
+		Expect(f.ApplyAnnouncement(left(20, 99))).To(BeTrue())
 		Expect(leaving()).To(BeTrue())
 		Expect(f.SetInstance(entry(30, 98, false))).To(BeTrue())
 		Expect(leaving()).To(BeFalse(), "the list's order of that word was of a position, and the start is later for sure")
@@ -73,18 +73,18 @@
 
 	It("are over with a word that a later one has left, of which the own list knows nothing yet", func() {
 		f.SetInstance(entry(10, 5, false))
-		Expect(f.Hear(left(20, 9))).To(BeTrue())
+		Expect(f.ApplyAnnouncement(left(20, 9))).To(BeTrue())
 		Expect(leaving()).To(BeTrue())
 	})
 
 	It("are told apart in what is said of the watched address", func() {
-		f.Watch("a")
+		f.WatchAddress("a")
 		f.SetInstance(entry(10, 3, true))
 		f.SetInstance(entry(20, 4, false))
-		l, _ := f.Told(time.Time{})
-		Expect(l).To(Equal([]Word{{Instance: "i", Born: 20, Address: "a", At: 4}}))
+		l, _ := f.Announcements(time.Time{})
+		Expect(l).To(Equal([]Announcement{{Instance: "i", Born: 20, Address: "a", Position: 4}}))
 		f.SetInstance(entry(10, 9, true))
-		l, _ = f.Told(time.Time{})
+		l, _ = f.Announcements(time.Time{})
 		Expect(l[0].Left).To(BeFalse())
 	})
 
@@ -99,10 +99,10 @@
 			}
 			if earlierLeaves {
 				does["earlier leaving"] = func() { f.SetInstance(entry(10, 2, true)) }
-				does["word on the earlier"] = func() { f.Hear(left(10, 7)) }
+				does["word on the earlier"] = func() { f.ApplyAnnouncement(left(10, 7)) }
 			}
 			if laterLeaves {
-				does["word on the later"] = func() { f.Hear(left(20, 5)) }
+				does["word on the later"] = func() { f.ApplyAnnouncement(left(20, 5)) }
 			}
 			var all []string
 			for k := range does {
@@ -123,8 +123,8 @@
 var _ = Describe("an entry of a pool that the configuration does not name", func() {
 	It("names no upstream to use, and does not take the address of one", func() {
 		f := New(time.Now)
-		f.SetInstance(&Instance{ID: "good", Pool: "p", Address: "a", Seen: 1})
-		f.SetInstance(&Instance{ID: "other", Pool: "nobody's", Address: "a", Seen: 2})
+		f.SetInstance(&Instance{ID: "good", Pool: "p", Address: "a", ListPosition: 1})
+		f.SetInstance(&Instance{ID: "other", Pool: "nobody's", Address: "a", ListPosition: 2})
 		f.SetCatalog(catalog.New(1, nil, []*catalog.Service{{Name: "p"}}, nil, catalog.Limits{}))
 		Expect(f.Instances()).To(HaveLen(1))
 		Expect(f.Instances()[0].ID).To(Equal(id.Instance("good")))
--- a/internal/facts/list_test.go
+++ b/internal/facts/list_test.go
@@ -13,7 +13,7 @@
 	for b.Loop() {
 		f := New(time.Now)
 		for n := range 3000 {
-			f.SetInstance(&Instance{ID: id.Instance(fmt.Sprint(n)), Pool: "p", Address: fmt.Sprint("10.0.0.1:", n), Seen: id.Position(n)})
+			f.SetInstance(&Instance{ID: id.Instance(fmt.Sprint(n)), Pool: "p", Address: fmt.Sprint("10.0.0.1:", n), ListPosition: id.Position(n)})
 		}
 		if len(f.Instances()) != 3000 {
 			b.Fatal("not all are listed")
--- a/internal/facts/wanted.go
+++ b/internal/facts/wanted.go
@@ -11,10 +11,10 @@
 // Wanted is the newest weights that operators have named for a model.
 type Wanted struct {
 	Revision id.Revision
-	// Date is that of the naming. The time of older versions runs from it: what this process learns late must not come on top.
-	Date dating.TimeBounds
-	// Learnt is when this process read of it.
-	Learnt time.Time
+	// PublishTime is that of the naming. The time of older versions runs from it: what this process learns late must not come on top.
+	PublishTime dating.TimeBounds
+	// LearntAt is when this process read of it.
+	LearntAt time.Time
 	// unread says that it stands for all versions up to it that this process has not read of, dated by the first of
 	// them: the date of the last one alone is too late.
 	unread bool
@@ -25,49 +25,49 @@
 // over says whether the time within which the weights have to be in use has passed. Where it is not known when they were
 // named, it may have.
 func (w Wanted) over(now time.Time, within time.Duration) bool {
-	return w.Date.After.IsZero() || now.Sub(w.Date.After) > within
+	return w.PublishTime.After.IsZero() || now.Sub(w.PublishTime.After) > within
 }
 
-// Naming is what this process has read of new weights.
-type Naming struct {
+// Publication is what this process has read of new weights.
+type Publication struct {
 	Revision id.Revision
-	// Date is that of the naming; Missed is a moment before any naming that this process has not read, zero where none is known.
-	Date   dating.TimeBounds
-	Missed time.Time
+	// PublishTime is that of the naming; Missed is a moment before any naming that this process has not read, zero where none is known.
+	PublishTime   dating.TimeBounds
+	CompleteUntil time.Time
 }
 
-// Change is what a naming has changed here.
-type Change struct {
-	// News says that the weights were not known.
-	News bool
-	// Date is what became of the date that was told.
-	Date dating.Outcome
+// PublicationResult is what a naming has changed here.
+type PublicationResult struct {
+	// New says that the weights were not known.
+	New bool
+	// DateOutcome is what became of the date that was told.
+	DateOutcome dating.Outcome
 }
 
 // SetWanted takes the weights that operators name for a model unless it knows newer ones.
-func (f *Facts) SetWanted(m id.Model, n Naming) Change {
+func (f *Facts) SetWanted(m id.Model, n Publication) PublicationResult {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	l := f.wanted[m]
 	last := newest(l)
 	if last.Revision >= n.Revision {
-		return Change{Date: f.date(m, n.Revision, n.Date)}
+		return PublicationResult{DateOutcome: f.date(m, n.Revision, n.PublishTime)}
 	}
 	now := f.now()
 	if last.Revision+1 < n.Revision {
 		// Others may have been named in between, the first of them ever since the last reading.
-		l = remember(l, Wanted{Revision: n.Revision - 1, Date: dating.TimeBounds{After: n.Missed}, Learnt: now, unread: true})
+		l = remember(l, Wanted{Revision: n.Revision - 1, PublishTime: dating.TimeBounds{After: n.CompleteUntil}, LearntAt: now, unread: true})
 	}
-	d, o := dating.TimeBounds{KnownAt: now}.Merge(n.Date)
-	f.wanted[m], _ = agree(remember(l, Wanted{Revision: n.Revision, Date: d, Learnt: now}))
+	d, o := dating.TimeBounds{KnownAt: now}.Merge(n.PublishTime)
+	f.wanted[m], _ = agree(remember(l, Wanted{Revision: n.Revision, PublishTime: d, LearntAt: now}))
 	f.notify()
-	return Change{News: true, Date: o}
+	return PublicationResult{New: true, DateOutcome: o}
 }
 
-// Prove takes a version that must have been named, as an upstream serves it or the origin calls it the newest, and says
+// ObserveRevision takes a version that must have been named, as an upstream serves it or the origin calls it the newest, and says
 // whether it was not known. The newest record of a naming may be an older version's, written late, and is all that a
 // process can read at its start.
-func (f *Facts) Prove(m id.Model, r id.Revision) bool {
+func (f *Facts) ObserveRevision(m id.Model, r id.Revision) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	l := f.wanted[m]
@@ -77,15 +77,15 @@
 	}
 	now := f.now()
 	if last.Revision+1 < r {
-		l = remember(l, Wanted{Revision: r - 1, Learnt: now, unread: true})
+		l = remember(l, Wanted{Revision: r - 1, LearntAt: now, unread: true})
 	}
-	f.wanted[m], _ = agree(remember(l, Wanted{Revision: r, Date: dating.TimeBounds{KnownAt: now}, Learnt: now, proved: true}))
+	f.wanted[m], _ = agree(remember(l, Wanted{Revision: r, PublishTime: dating.TimeBounds{KnownAt: now}, LearntAt: now, proved: true}))
 	f.notify()
 	return true
 }
 
-// Proved returns the newest version of a model where it is known without its record, or 0.
-func (f *Facts) Proved(m id.Model) id.Revision {
+// ObservedRevision returns the newest version of a model where it is known without its record, or 0.
+func (f *Facts) ObservedRevision(m id.Model) id.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if w := newest(f.wanted[m]); w.proved {
@@ -94,9 +94,9 @@
 	return 0
 }
 
-// Date takes what another process tells of the naming of weights: one that starts while a version is brought out reads
+// MergePublishTime takes what another process tells of the naming of weights: one that starts while a version is brought out reads
 // it in the store without its age.
-func (f *Facts) Date(m id.Model, r id.Revision, d dating.TimeBounds) dating.Outcome {
+func (f *Facts) MergePublishTime(m id.Model, r id.Revision, d dating.TimeBounds) dating.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.date(m, r, d)
@@ -108,13 +108,13 @@
 	if i < 0 {
 		return dating.Kept
 	}
-	old := f.wanted[m][i].Date
+	old := f.wanted[m][i].PublishTime
 	merged, o := old.Merge(d)
 	if merged == old {
 		return o
 	}
 	l := slices.Clone(f.wanted[m])
-	l[i].Date = merged
+	l[i].PublishTime = merged
 	l, withdrawn := agree(l)
 	f.wanted[m] = l
 	if withdrawn || !merged.After.Equal(old.After) {
@@ -128,8 +128,8 @@
 // must not be shared.
 func agree(l []Wanted) (_ []Wanted, withdrawn bool) {
 	for i := len(l) - 2; i >= 0; i-- {
-		d, o := l[i].Date.Merge(dating.TimeBounds{KnownAt: l[i+1].Date.KnownAt})
-		l[i].Date, withdrawn = d, withdrawn || o == dating.Withdrawn
+		d, o := l[i].PublishTime.Merge(dating.TimeBounds{KnownAt: l[i+1].PublishTime.KnownAt})
+		l[i].PublishTime, withdrawn = d, withdrawn || o == dating.Withdrawn
 	}
 	return l, withdrawn
 }
@@ -164,9 +164,9 @@
 	return newest(f.wanted[m])
 }
 
-// Required returns the oldest version of a model that may still take requests: each version has to be in use, or a newer
+// MinRevision returns the oldest version of a model that may still take requests: each version has to be in use, or a newer
 // one, within a time of its naming, whatever has been named since. It is 0 where any will do.
-func (f *Facts) Required(m id.Model, within time.Duration) id.Revision {
+func (f *Facts) MinRevision(m id.Model, within time.Duration) id.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
@@ -179,30 +179,30 @@
 	return 0
 }
 
-// Overtaken returns when this process learnt of the newest version of a model, where the time of an older one was
+// OvertakenAt returns when this process learnt of the newest version of a model, where the time of an older one was
 // running out by then, as another version had followed it before; it is zero elsewhere.
-func (f *Facts) Overtaken(m id.Model, r id.Revision) time.Time {
+func (f *Facts) OvertakenAt(m id.Model, r id.Revision) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	l := f.wanted[m]
 	if len(l) < 2 || l[len(l)-2].Revision <= r {
 		return time.Time{}
 	}
-	return l[len(l)-1].Learnt
+	return l[len(l)-1].LearntAt
 }
 
-// Until returns when a version of a model may take no new requests any more: a time after the first newer one was named,
+// ServableUntil returns when a version of a model may take no new requests any more: a time after the first newer one was named,
 // or when this process read of that one where it does not know since when it is named. It is zero for a version that
 // nothing newer is known to follow.
-func (f *Facts) Until(m id.Model, r id.Revision, within time.Duration) time.Time {
+func (f *Facts) ServableUntil(m id.Model, r id.Revision, within time.Duration) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, w := range f.wanted[m] {
-		if w.Revision > r && w.Date.After.IsZero() {
-			return w.Learnt
+		if w.Revision > r && w.PublishTime.After.IsZero() {
+			return w.LearntAt
 		}
 		if w.Revision > r {
-			return w.Date.After.Add(within)
+			return w.PublishTime.After.Add(within)
 		}
 	}
 	return time.Time{}
--- a/internal/facts/word.go
+++ b/internal/facts/word.go
@@ -6,18 +6,18 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// Word is what the list of the stager beside an upstream says of an instance at that upstream's address: that it has left,
+// Announcement is what the list of the stager beside an upstream says of an instance at that upstream's address: that it has left,
 // or that it is back after that. Of two words on an instance the one with the later position is right, whichever came first;
 // a word that comes late, twice or out of order therefore changes nothing.
-type Word struct {
+type Announcement struct {
 	Instance id.Instance
 	// Born is the start of the instance that the word is on; 0 where that is not known.
 	Born    id.Birth
 	Address string
 	// Left is true of an instance that says that it leaves, or is gone from the list.
 	Left bool
-	// At is how far the list had been read when it said so, or the place of the new entry of one that is back.
-	At id.Position
+	// Position is how far the list had been read when it said so, or the place of the new entry of one that is back.
+	Position id.Position
 }
 
 // standing is all that words have said of an instance's newest start.
@@ -32,7 +32,7 @@
 }
 
 // take notes a word. One on an earlier start changes nothing, and one on a later start replaces all before it.
-func (s *standing) take(w Word) {
+func (s *standing) take(w Announcement) {
 	if w.Born.Before(s.born) {
 		return
 	}
@@ -41,10 +41,10 @@
 	}
 	s.born = max(s.born, w.Born)
 	if w.Left {
-		s.left, s.leftAt = true, max(s.leftAt, w.At)
+		s.left, s.leftAt = true, max(s.leftAt, w.Position)
 		return
 	}
-	s.backAt = max(s.backAt, w.At)
+	s.backAt = max(s.backAt, w.Position)
 }
 
 // gone says whether an instance has left whose entry in the own list is at an offset and of a start. Only an entry that was
@@ -77,8 +77,8 @@
 	return w.of != nil && w.address == address
 }
 
-// Watch makes the facts remember which instances leave an address; a stager watches that of its upstream.
-func (f *Facts) Watch(address string) {
+// WatchAddress makes the facts remember which instances leave an address; a stager watches that of its upstream.
+func (f *Facts) WatchAddress(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if address == "" || f.watch.at(address) {
@@ -90,19 +90,19 @@
 	}
 }
 
-// Told returns the words on the watched address that are new since a moment, and a channel that closes when there are
+// Announcements returns the words on the watched address that are new since a moment, and a channel that closes when there are
 // others.
-func (f *Facts) Told(since time.Time) ([]Word, <-chan struct{}) {
+func (f *Facts) Announcements(since time.Time) ([]Announcement, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var l []Word
+	var l []Announcement
 	for n, s := range f.watch.of {
 		if s.since.Before(since) {
 			continue
 		}
-		w := Word{Instance: n, Address: s.address, Born: s.born, Left: s.gone(0, 0), At: s.leftAt}
+		w := Announcement{Instance: n, Address: s.address, Born: s.born, Left: s.gone(0, 0), Position: s.leftAt}
 		if !w.Left {
-			w.At = s.backAt
+			w.Position = s.backAt
 		}
 		l = append(l, w)
 	}
@@ -114,12 +114,12 @@
 func (f *Facts) watchEntry(i *Instance) {
 	left := i.Leaving || f.leaves(i.ID, i.Born)
 	if f.watch.at(i.Address) && (left || f.watch.of[i.ID] != nil) {
-		f.watched(Word{Instance: i.ID, Born: i.Born, Left: left, At: i.Seen})
+		f.watched(Announcement{Instance: i.ID, Born: i.Born, Left: left, Position: i.ListPosition})
 	}
 }
 
 // watched notes what the list says of an instance at the watched address; the caller holds the lock.
-func (f *Facts) watched(w Word) {
+func (f *Facts) watched(w Announcement) {
 	n := w.Instance
 	s := f.watch.of[n]
 	if s == nil {
@@ -150,9 +150,9 @@
 	delete(f.watch.of, oldest)
 }
 
-// Hear takes a word of a stager. It is true where that makes an upstream leave, or brings it back, that the own list has as
+// ApplyAnnouncement takes a word of a stager. It is true where that makes an upstream leave, or brings it back, that the own list has as
 // ready.
-func (f *Facts) Hear(w Word) bool {
+func (f *Facts) ApplyAnnouncement(w Announcement) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	i := f.instances[w.Instance]
@@ -167,10 +167,10 @@
 		s = &standing{address: w.Address}
 		f.words[w.Instance] = s
 	}
-	was := i != nil && s.gone(i.Seen, i.Born)
+	was := i != nil && s.gone(i.ListPosition, i.Born)
 	s.take(w)
 	s.since = f.now()
-	if i == nil || i.Leaving || s.gone(i.Seen, i.Born) == was {
+	if i == nil || i.Leaving || s.gone(i.ListPosition, i.Born) == was {
 		return false
 	}
 	f.list.Store(nil)
@@ -182,7 +182,7 @@
 // list says. The caller holds the lock.
 func (f *Facts) effective(i *Instance) *Instance {
 	s := f.words[i.ID]
-	told := s != nil && s.address == i.Address && s.gone(i.Seen, i.Born)
+	told := s != nil && s.address == i.Address && s.gone(i.ListPosition, i.Born)
 	if i.Leaving || !told && !f.leaves(i.ID, i.Born) {
 		return i
 	}
@@ -191,9 +191,9 @@
 	return &l
 }
 
-// SweepWords forgets what was said of instances that the own list has lacked for long. On those that it has they are kept
+// SweepAnnouncements forgets what was said of instances that the own list has lacked for long. On those that it has they are kept
 // whether or not their stagers still say so: one that has started again may not know.
-func (f *Facts) SweepWords() {
+func (f *Facts) SweepAnnouncements() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
@@ -205,15 +205,15 @@
 	}
 }
 
-// ReadTo notes an offset of the list that has been read.
-func (f *Facts) ReadTo(offset id.Position) {
+// NoteListPosition notes an offset of the list that has been read.
+func (f *Facts) NoteListPosition(offset id.Position) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.readTo = max(f.readTo, offset)
 }
 
-// Position is the highest offset of the list that this process knows to have read.
-func (f *Facts) Position() id.Position {
+// ListPosition is the highest offset of the list that this process knows to have read.
+func (f *Facts) ListPosition() id.Position {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.readTo
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -100,7 +100,7 @@
 	r := f.request
 	h := passOn(r.Header)
 	s := Send{Instance: c.Instance, Organisation: f.org, Left: f.deadline.Sub(f.gateway.now()), After: f.events.last}
-	if f.headSent || f.gateway.facts.Required(f.ask.Model, f.gateway.settings.SwapWithin-swapMargin) > 0 {
+	if f.headSent || f.gateway.facts.MinRevision(f.ask.Model, f.gateway.settings.SwapWithin-swapMargin) > 0 {
 		s.Revision = c.Revision
 	}
 	f.gateway.dialect.Prepare(h, s)
@@ -115,7 +115,7 @@
 func (f *flight) may(c placement.Choice, dialled time.Duration) bool {
 	f.held = ""
 	switch {
-	case f.gateway.facts.SaysLeaving(c.Instance, c.Born):
+	case f.gateway.facts.AnnouncedLeaving(c.Instance, c.Born):
 		f.held = heldLeaving
 	case f.gateway.load.Tracker.Resting(c.Address, c.Instance) > 0:
 		f.held = heldResting
@@ -158,7 +158,7 @@
 		return true
 	}
 	g := f.gateway
-	until := g.facts.Until(f.ask.Model, c.Revision, g.settings.SwapWithin)
+	until := g.facts.ServableUntil(f.ask.Model, c.Revision, g.settings.SwapWithin)
 	return until.IsZero() || !g.now().Add(max(c.Margin, c.Wait+wayDialled*max(dialled, f.asked))).After(until)
 }
 
--- a/internal/gateway/begun_test.go
+++ b/internal/gateway/begun_test.go
@@ -61,7 +61,7 @@
 		Entry("its key is taken away, and its body and head are above new limits", func(b *testbed) { settings(b, nil, "other") }),
 		Entry("its upstream says that it leaves", func(b *testbed) {
 			u := *b.facts.Instance("u")
-			u.Leaving, u.Seen = true, 1
+			u.Leaving, u.ListPosition = true, 1
 			b.facts.SetInstance(&u)
 		}),
 		Entry("its upstream's entry goes", func(b *testbed) { b.facts.DropInstance("u", 1) }),
@@ -103,7 +103,7 @@
 		for _, name := range []string{"u", "v"} {
 			b.upstream(name, "engines", pausing)
 			u := *b.facts.Instance(id.Instance(name))
-			u.Slots, u.Seen = 2*streams, 1
+			u.Slots, u.ListPosition = 2*streams, 1
 			u.Held = []facts.Held{{Model: "m", Revision: 1}}
 			b.facts.SetInstance(&u)
 		}
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -30,14 +30,14 @@
 	}
 	r := route(catalog.Streaming, "engines")
 	f.SetCatalog(catalog.New(1, []*catalog.Route{r}, []*catalog.Service{{Name: "engines", Engine: e}}, nil, catalog.Limits{}))
-	f.SetWanted("m", facts.Naming{Revision: 2, Date: dating.TimeBounds{After: now}, Missed: now})
+	f.SetWanted("m", facts.Publication{Revision: 2, PublishTime: dating.TimeBounds{After: now}, CompleteUntil: now})
 	t := placement.NewTracker(clock)
 	held := []facts.Held{{Model: "m", Revision: 1}}
 	for n := range upstreams {
 		address := fmt.Sprintf("10.%d.0.%d:8000", n%domains, n)
 		f.SetInstance(&facts.Instance{
 			ID: id.Instance(fmt.Sprint("i-", n)), Born: 5, Pool: "engines", Address: address, Domain: id.Domain(fmt.Sprint(n % domains)),
-			Slots: 12, Held: held, Seen: id.Position(n),
+			Slots: 12, Held: held, ListPosition: id.Position(n),
 		})
 		t.SetReport(address, placement.LoadReport{Born: 5, Running: n % 12, Waiting: n % 3, Pace: 1, Held: held, Taken: now.Add(-time.Duration(n%200) * time.Millisecond)})
 	}
--- a/internal/gateway/desk.go
+++ b/internal/gateway/desk.go
@@ -243,7 +243,7 @@
 		way, passage = d.SwapWithin, placement.Queued
 	}
 	margin := max(swapMargin, wait+max(swapArrival, way))
-	if c.Revision < q.newest && d.Now().Sub(d.Facts.Overtaken(q.Model, c.Revision)) < burstFor {
+	if c.Revision < q.newest && d.Now().Sub(d.Facts.OvertakenAt(q.Model, c.Revision)) < burstFor {
 		margin = max(margin, burstMargin)
 	}
 	if q.HeadSent {
@@ -253,9 +253,9 @@
 	if c.Revision >= q.newest {
 		return true
 	}
-	until := d.Facts.Until(q.Model, c.Revision, d.SwapWithin)
+	until := d.Facts.ServableUntil(q.Model, c.Revision, d.SwapWithin)
 	c.Prove = !until.IsZero() && until.Sub(d.Now()) < min(proveLast, d.SwapWithin/2)
-	if c.Revision >= d.Facts.Required(q.Model, d.SwapWithin-margin) && (!c.Prove || !q.declined(c)) {
+	if c.Revision >= d.Facts.MinRevision(q.Model, d.SwapWithin-margin) && (!c.Prove || !q.declined(c)) {
 		return true
 	}
 	q.decision.note(until)
@@ -306,7 +306,7 @@
 	if q.Model == "" {
 		return 0, true
 	}
-	r := facts.Revision(held, q.Model)
+	r := facts.HeldRevision(held, q.Model)
 	if r == 0 {
 		q.decision.out.empty++
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -241,7 +241,7 @@
 		Expect(b.gateway.load.Offers.Far.Total()).To(BeZero())
 		i := *b.facts.Instances()[0]
 		i.Domain = "elsewhere"
-		i.Seen++
+		i.ListPosition++
 		b.facts.SetInstance(&i)
 		_, _, err = b.ask("POST", "/p/", "x", xModel, "m", xRequest, "2")
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/gateway/left_test.go
+++ b/internal/gateway/left_test.go
@@ -93,14 +93,14 @@
 		b.gateway.log = &log.Logger{Level: log.InfoLevel, Writer: log.IOWriter{Writer: lines}}
 		n := b.newNeighbour()
 		own := *b.facts.Instance("u")
-		own.Seen = 3
+		own.ListPosition = 3
 		b.facts.SetInstance(&own)
-		n.facts.SetInstance(&facts.Instance{ID: "u", Pool: "engines", Address: n.address, Seen: 3})
+		n.facts.SetInstance(&facts.Instance{ID: "u", Pool: "engines", Address: n.address, ListPosition: 3})
 		n.publish()
 		a, _, err := b.ask("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(200))
-		n.facts.SetInstance(&facts.Instance{ID: "u", Pool: "engines", Address: n.address, Seen: 4, Leaving: true})
+		n.facts.SetInstance(&facts.Instance{ID: "u", Pool: "engines", Address: n.address, ListPosition: 4, Leaving: true})
 		n.publish()
 		time.Sleep(100 * time.Millisecond)
 		a, _, err = b.ask("POST", "/p/", "x", xModel, "m", xRequest, "2")
@@ -119,7 +119,7 @@
 			other := map[string]string{"u": "v", "v": "u"}[n]
 			b.upstream(n, "plain", func(q *http.Request, _ string, c net.Conn) {
 				first.Do(func() {
-					b.facts.Hear(facts.Word{Instance: id.Instance(other), Address: address[other], Left: true, At: 5})
+					b.facts.ApplyAnnouncement(facts.Announcement{Instance: id.Instance(other), Address: address[other], Left: true, Position: 5})
 				})
 				reply(c, q, 503, xNotRun+": 1\r\n", "")
 			})
--- a/internal/gateway/life_test.go
+++ b/internal/gateway/life_test.go
@@ -25,7 +25,7 @@
 	if held > 0 {
 		i.Held = []facts.Held{{Model: "m", Revision: held}}
 	}
-	i.Seen++
+	i.ListPosition++
 	Expect(b.facts.SetInstance(&i)).To(BeTrue())
 	return &i
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -20,15 +20,15 @@
 	}
 	for _, i := range g.facts.Instances() {
 		if i.Leaving {
-			by := leavingSources[g.facts.LeavingBy(i.ID)]
+			by := leavingSources[g.facts.LeavingSource(i.ID)]
 			a.Leaving = append(a.Leaving, &pb.LeavingUpstream{Address: i.Address, Instance: string(i.ID), By: by})
 		}
 	}
 	return a, nil
 }
 
-var leavingSources = map[facts.LeavingBy]pb.LeavingSource{
-	facts.ByEntry:  pb.LeavingSource_LEAVING_SOURCE_ENTRY,
-	facts.ByAnswer: pb.LeavingSource_LEAVING_SOURCE_ANSWER,
-	facts.ByStager: pb.LeavingSource_LEAVING_SOURCE_STAGER,
+var leavingSources = map[facts.LeavingSource]pb.LeavingSource{
+	facts.LeavingByEntry:  pb.LeavingSource_LEAVING_SOURCE_ENTRY,
+	facts.LeavingByAnswer: pb.LeavingSource_LEAVING_SOURCE_ANSWER,
+	facts.LeavingByStager: pb.LeavingSource_LEAVING_SOURCE_STAGER,
 }
--- a/internal/gateway/queue_test.go
+++ b/internal/gateway/queue_test.go
@@ -77,7 +77,7 @@
 		})
 		named := func(r id.Revision) {
 			now := s.now()
-			b.facts.SetWanted("m", facts.Naming{Revision: r, Date: dating.TimeBounds{After: now, KnownAt: now}})
+			b.facts.SetWanted("m", facts.Publication{Revision: r, PublishTime: dating.TimeBounds{After: now, KnownAt: now}})
 		}
 		status := func(request string) int {
 			stamp := s.now()
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -61,7 +61,7 @@
 			b.upstream("v", "engines", whole)
 			v := *b.facts.Instance("v")
 			v.Held = []facts.Held{{Model: "m", Revision: 2}}
-			v.Seen = 1
+			v.ListPosition = 1
 			b.facts.SetInstance(&v)
 		})
 		expectWhole("u")
@@ -71,7 +71,7 @@
 		pausing(func() {
 			b.upstream("v", "engines", whole)
 			v := *b.facts.Instance("v")
-			v.Held, v.Seen = nil, 1
+			v.Held, v.ListPosition = nil, 1
 			b.facts.SetInstance(&v)
 		})
 		expectWhole("u")
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -81,7 +81,7 @@
 		for _, i := range b.facts.Instances() {
 			if i.ID == "v" {
 				b.facts.SetInstance(&facts.Instance{ID: i.ID, Pool: i.Pool, Address: i.Address, Domain: "far", Slots: 4,
-					Held: []facts.Held{{Model: "m", Revision: 2}}, Seen: 1})
+					Held: []facts.Held{{Model: "m", Revision: 2}}, ListPosition: 1})
 			}
 		}
 		broken := 0
@@ -229,7 +229,7 @@
 		go func() {
 			<-arrived
 			since <- time.Now()
-			b.facts.Date("m", 2, dating.TimeBounds{KnownAt: time.Now().Add(-time.Minute)})
+			b.facts.MergePublishTime("m", 2, dating.TimeBounds{KnownAt: time.Now().Add(-time.Minute)})
 		}()
 		_, _, err := b.ask("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
@@ -253,7 +253,7 @@
 		go func() {
 			<-arrived
 			since <- time.Now()
-			b.facts.SetWanted("m", facts.Naming{Revision: 2})
+			b.facts.SetWanted("m", facts.Publication{Revision: 2})
 		}()
 		_, _, err := b.ask("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
@@ -295,6 +295,6 @@
 }
 
 // secondNamed is what a process has read of a second version that is named just now.
-func secondNamed() facts.Naming {
-	return facts.Naming{Revision: 2, Date: dating.TimeBounds{After: time.Now()}, Missed: time.Now()}
+func secondNamed() facts.Publication {
+	return facts.Publication{Revision: 2, PublishTime: dating.TimeBounds{After: time.Now()}, CompleteUntil: time.Now()}
 }
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -24,7 +24,7 @@
 // noteLeaving has nothing more sent to a start of an upstream whose answer says that it leaves.
 func (g *Gateway) noteLeaving(c placement.Choice) {
 	g.tally.add("answers_of_leaving_upstreams")
-	if g.facts.Leaves(c.Instance, c.Born) {
+	if g.facts.MarkLeaving(c.Instance, c.Born) {
 		g.log.Info().Str("instance", string(c.Instance)).Str("upstream", c.Address).Msg("upstream leaves by its own answer")
 	}
 }
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -48,7 +48,7 @@
 				first = address
 				for _, i := range b.facts.Instances() {
 					if i.Address == address {
-						b.facts.Leaves(i.ID, i.Born)
+						b.facts.MarkLeaving(i.ID, i.Born)
 					}
 				}
 			}
--- a/internal/gateway/versionend.go
+++ b/internal/gateway/versionend.go
@@ -25,7 +25,7 @@
 
 // BeginBy is when a request that has not begun on a version by then must be given up; zero where nothing ends.
 func (d *Desk) BeginBy(m id.Model, r id.Revision) time.Time {
-	until := d.Facts.Until(m, r, d.SwapWithin)
+	until := d.Facts.ServableUntil(m, r, d.SwapWithin)
 	if until.IsZero() {
 		return until
 	}
--- a/internal/gateway/way_test.go
+++ b/internal/gateway/way_test.go
@@ -185,7 +185,7 @@
 		_, _ = io.WriteString(c, "0\r\n\r\n")
 	})
 	i := *e.facts.Instance("u")
-	i.Address, i.Seen = e.link.streams(i.Address), i.Seen+1
+	i.Address, i.ListPosition = e.link.streams(i.Address), i.ListPosition+1
 	e.facts.SetInstance(&i)
 	e.subscribe(ctx, i.Address)
 	return e
@@ -214,7 +214,7 @@
 // name names a newer version now.
 func (e *farEnd) name() {
 	e.named = time.Now()
-	e.facts.SetWanted("m", facts.Naming{Revision: 2, Date: dating.TimeBounds{After: e.named}, Missed: e.named})
+	e.facts.SetWanted("m", facts.Publication{Revision: 2, PublishTime: dating.TimeBounds{After: e.named}, CompleteUntil: e.named})
 }
 
 // end is when the older version's time is over.
--- a/internal/measure/newsprocess.go
+++ b/internal/measure/newsprocess.go
@@ -180,7 +180,7 @@
 func (p *newsProcess) applyUpstream(r records.Record) error {
 	if r.Value != nil {
 		p.facts.SetInstance(&facts.Instance{
-			ID: id.Instance(r.Key), Address: r.Key, Leaving: newsStageOf(r.Value) == newsLeaving, Seen: r.At,
+			ID: id.Instance(r.Key), Address: r.Key, Leaving: newsStageOf(r.Value) == newsLeaving, ListPosition: r.At,
 		})
 	}
 	p.tally.learn(r)
--- a/internal/measure/newsrun.go
+++ b/internal/measure/newsrun.go
@@ -295,7 +295,7 @@
 	for _, p := range r.processes {
 		for _, g := range r.order[p.domain] {
 			if g.ctx.Err() == nil && !p.isFrozen() {
-				p.facts.SeeGateway(g.name)
+				p.facts.NoteGateway(g.name)
 			}
 		}
 	}
--- a/internal/placement/limit.go
+++ b/internal/placement/limit.go
@@ -56,7 +56,7 @@
 	if u.limited == nil {
 		u.limited = i
 	}
-	return u.limited.ID != i.ID && u.born == 0 && i.Seen >= u.limited.Seen
+	return u.limited.ID != i.ID && u.born == 0 && i.ListPosition >= u.limited.ListPosition
 }
 
 // reports says whether a process beside the upstream has ever reported.
--- a/internal/placement/limit_test.go
+++ b/internal/placement/limit_test.go
@@ -54,7 +54,7 @@
 	BeforeEach(func() {
 		now = time.Unix(1000, 0)
 		t = NewTracker(func() time.Time { return now })
-		i = &facts.Instance{ID: "i", Address: "a", Born: 5, Seen: 1}
+		i = &facts.Instance{ID: "i", Address: "a", Born: 5, ListPosition: 1}
 	})
 	report := func(b id.Birth, told throttle.Told) {
 		t.SetReport("a", LoadReport{Born: b, Taken: now, Limit: told})
@@ -72,7 +72,7 @@
 		f := t.Begin("a", 1)
 		Expect(f.Answered(limited)).To(BeFalse())
 		Expect(t.Candidate(i, 0).Limit).NotTo(BeNil())
-		Expect(t.Candidate(&facts.Instance{ID: "j", Address: "a", Seen: 2}, 0).Limit).To(BeNil())
+		Expect(t.Candidate(&facts.Instance{ID: "j", Address: "a", ListPosition: 2}, 0).Limit).To(BeNil())
 	})
 
 	It("is told to the process beside the upstream where that does not say it itself", func() {
--- a/internal/records/away.go
+++ b/internal/records/away.go
@@ -25,14 +25,14 @@
 		return
 	}
 	if l.absent != nil {
-		l.absent.GraceUntil(b.Grace)
+		l.absent.ExtendGrace(b.Grace)
 	}
 	if l.started && l.next >= b.Returned.next && b.Returned.at.After(l.returned.at) {
 		l.returned = b.Returned
 	}
 	if l.started && l.absent != nil && b.Began.After(l.confirmed) {
 		// The source started after this process had lost the store, and can't tell whether it was away.
-		l.absent.Returned()
+		l.absent.NoteListReturned()
 	}
 }
 
@@ -104,7 +104,7 @@
 	case err == nil && l.lost:
 		l.log.Info().Str("topic", l.topic.Name).Uint64("next", l.next.Offset()).Uint64("era", l.next.Era()).Msg("the store is back")
 		if l.absent != nil {
-			l.absent.Returned()
+			l.absent.NoteListReturned()
 		}
 	}
 	l.lost = err != nil
--- a/internal/records/changes.go
+++ b/internal/records/changes.go
@@ -51,7 +51,7 @@
 	c.Returned, c.Began = sinceKnown(now, l.returned.at), sinceKnown(now, l.began)
 	c.ReturnedNext = l.returned.next
 	if l.absent != nil {
-		c.Grace = l.absent.Grace()
+		c.Grace = l.absent.RemainingGrace()
 	}
 	follows := p.Epoch == l.epoch && p.From >= l.forgotten && p.From <= l.changes
 	resumes := !follows && p.From != askWhole && l.resumable(p.Next)
--- a/internal/records/dated_test.go
+++ b/internal/records/dated_test.go
@@ -142,7 +142,7 @@
 		Expect(more).To(BeFalse())
 		settled := l.settled
 		Expect(settled).NotTo(BeZero())
-		f.Heard(9)
+		f.NoteConfigOffset(9)
 		end = 4
 		_, err = r.step(ctx)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/records/dates_test.go
+++ b/internal/records/dates_test.go
@@ -84,7 +84,7 @@
 		return nil
 	}
 	n, err := strconv.Atoi(string(r.Value))
-	p.facts.SetWanted("m", facts.Naming{Revision: id.Revision(n), Date: r.TimeBounds, Missed: r.Missed})
+	p.facts.SetWanted("m", facts.Publication{Revision: id.Revision(n), PublishTime: r.TimeBounds, CompleteUntil: r.Missed})
 	return err
 }
 
@@ -181,12 +181,12 @@
 func (p *datedProcess) tells() {
 	w := p.world
 	n := p.facts.Wanted("m")
-	if n.Learnt.IsZero() {
+	if n.LearntAt.IsZero() {
 		return
 	}
-	r := report{revision: n.Revision, age: -1, had: w.now.Sub(n.Date.KnownAt)}
-	if !n.Date.After.IsZero() {
-		r.age = w.now.Sub(n.Date.After)
+	r := report{revision: n.Revision, age: -1, had: w.now.Sub(n.PublishTime.KnownAt)}
+	if !n.PublishTime.After.IsZero() {
+		r.age = w.now.Sub(n.PublishTime.After)
 	}
 	if rapid.Bool().Draw(w.t, "echoed") {
 		r.made = w.now.Add(-time.Duration(rapid.IntRange(0, 1500).Draw(w.t, "since the stamp")) * time.Millisecond)
@@ -206,7 +206,7 @@
 	if r.age >= 0 && !r.made.IsZero() {
 		d.After = r.made.Add(-r.age)
 	}
-	p.facts.Date("m", r.revision, d)
+	p.facts.MergePublishTime("m", r.revision, d)
 }
 
 // pass lets up to a number of milliseconds go by.
@@ -241,14 +241,14 @@
 	const within = time.Minute
 	for i, p := range w.processes {
 		newest := p.facts.Wanted("m").Revision
-		if had := p.facts.Wanted("m").Date.KnownAt; newest > 1 && had.Before(w.named[newest-2]) {
+		if had := p.facts.Wanted("m").PublishTime.KnownAt; newest > 1 && had.Before(w.named[newest-2]) {
 			w.t.Fatalf("process %d: version %d, named at %v, is taken to be known at %v", i, newest, w.named[newest-2].Sub(start), had.Sub(start))
 		}
 		for v := id.Revision(1); v < newest; v++ {
-			until := p.facts.Until("m", v, within)
+			until := p.facts.ServableUntil("m", v, within)
 			if named := w.named[v-1]; until.After(w.allowed(named).Add(within)) {
 				w.t.Fatalf("process %d: version %d, named at %v, is dated %v by %+v; blind: %v", i, v+1, named.Sub(start),
-					until.Add(-within).Sub(start), p.facts.Wanted("m").Date.Source, w.blind)
+					until.Add(-within).Sub(start), p.facts.Wanted("m").PublishTime.Source, w.blind)
 			}
 		}
 	}
--- a/internal/records/era_test.go
+++ b/internal/records/era_test.go
@@ -74,7 +74,7 @@
 		f = facts.New(clock)
 		l = NewLog(Topic{Name: "up", Upstreams: true, Apply: func(r Record) error {
 			if r.Value != nil {
-				f.SetInstance(&facts.Instance{ID: "u", Address: "a", Seen: r.At, Leaving: string(r.Value) == "leaving"})
+				f.SetInstance(&facts.Instance{ID: "u", Address: "a", ListPosition: r.At, Leaving: string(r.Value) == "leaving"})
 			}
 			return nil
 		}}, f, clock, quiet)
--- a/internal/records/harness_test.go
+++ b/internal/records/harness_test.go
@@ -185,7 +185,7 @@
 	}
 	upstream := func(r Record) error {
 		if r.Value != nil {
-			i := &facts.Instance{ID: id.Instance(r.Key), Address: r.Key, Domain: "d", Seen: r.At}
+			i := &facts.Instance{ID: id.Instance(r.Key), Address: r.Key, Domain: "d", ListPosition: r.At}
 			if string(r.Value) == serving {
 				i.Held = []facts.Held{{Model: "m", Revision: 1}}
 			}
@@ -233,6 +233,6 @@
 		defer freeze.RUnlock()
 		return first.service.Follow(ctx, q)
 	})
-	second.facts.SeeGateway("a")
+	second.facts.NoteGateway("a")
 	return first, second, freeze
 }
--- a/internal/records/log.go
+++ b/internal/records/log.go
@@ -28,7 +28,7 @@
 
 	now    func() time.Time
 	epoch  uint64
-	absent *facts.Absences
+	absent *facts.AbsenceTracker
 	// turn is this process's part in reading the topic whole.
 	turn *turn
 
@@ -66,7 +66,7 @@
 		skippedLines: rate.NewLimiter(skippedPerSecond, skippedAtOnce), turn: newTurn("", "", now),
 	}
 	if t.Upstreams {
-		g.absent = facts.NewAbsences(f, now, l)
+		g.absent = facts.NewAbsenceTracker(f, now, l)
 	}
 	return g
 }
@@ -279,7 +279,7 @@
 		e.version = v
 	}
 	if l.absent != nil {
-		l.absent.Note(id.Instance(r.Key), r.Value != nil)
+		l.absent.NoteEntry(id.Instance(r.Key), r.Value != nil)
 	}
 	if r.Value == nil && (e.change == 0 || e.Value != nil) {
 		// Also of a key that was not held here: a follower may hold it.
@@ -349,7 +349,7 @@
 	l.log.Warn().Str("topic", l.topic.Name).Uint64("era", next.Era()).Uint64("next", next.Offset()).Uint64("era_before", l.next.Era()).
 		Uint64("next_before", l.next.Offset()).Msg("the store has come back from an older copy")
 	if l.absent != nil {
-		l.absent.Returned()
+		l.absent.NoteListReturned()
 	}
 }
 
--- a/internal/records/outage_test.go
+++ b/internal/records/outage_test.go
@@ -184,7 +184,7 @@
 	}, func(ctx context.Context, p *process) {
 		for ctx.Err() == nil {
 			for _, g := range d.gateways {
-				p.facts.SeeGateway(g)
+				p.facts.NoteGateway(g)
 			}
 			kernel.Pause(ctx, time.Second)
 		}
@@ -378,10 +378,10 @@
 		DeferCleanup(stop)
 		go func() {
 			for ctx.Err() == nil {
-				f.SeeGateway("a")
+				f.NoteGateway("a")
 				for n := range 40 {
 					// So many take over before it that it begins to look only once its records are old.
-					f.SeeGateway(fmt.Sprint("gone-", n))
+					f.NoteGateway(fmt.Sprint("gone-", n))
 				}
 				kernel.Pause(ctx, time.Second)
 			}
--- a/internal/records/reader.go
+++ b/internal/records/reader.go
@@ -134,7 +134,7 @@
 
 // behind says whether another process has read further in the operators' records.
 func (r *Reader) behind() bool {
-	heard, _ := r.facts.Hearing()
+	heard, _ := r.facts.ConfigOffset()
 	next, started := r.log.Position()
 	return r.wait > 0 && started && heard > next
 }
@@ -182,7 +182,7 @@
 	if more {
 		b.Confirmed = time.Time{}
 	}
-	if heard, _ := r.facts.Hearing(); more || (r.wait > 0 && heard > a.Next) {
+	if heard, _ := r.facts.ConfigOffset(); more || (r.wait > 0 && heard > a.Next) {
 		// The store has more, or does not show yet what others have read: nothing is known of what comes after Next.
 		b.Settled = time.Time{}
 	}
@@ -326,7 +326,7 @@
 	if r.wait == 0 || r.prompt {
 		return ctx, func() {}, 0
 	}
-	heard, hearing := r.facts.Hearing()
+	heard, hearing := r.facts.ConfigOffset()
 	if heard > next {
 		return ctx, func() {}, 0
 	}
@@ -344,6 +344,6 @@
 // heard tells others how far the operators' records have been read.
 func (r *Reader) heard(next id.Position) {
 	if r.wait > 0 {
-		r.facts.Heard(next)
+		r.facts.NoteConfigOffset(next)
 	}
 }
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -54,7 +54,7 @@
 		Eventually(func() string { return second.value("config") }).WithTimeout(followWait + followSlack + 300*time.Millisecond).
 			Should(Equal("7"))
 		freeze.Unlock()
-		second.facts.SeeGateway("a")
+		second.facts.NoteGateway("a")
 		Eventually(closed).WithTimeout(blameFor + 2*time.Second).Should(BeTrue())
 	})
 
@@ -77,7 +77,7 @@
 			return first.service.Follow(ctx, q)
 		})
 		time.Sleep(100 * time.Millisecond)
-		patient.facts.SeeGateway("a")
+		patient.facts.NoteGateway("a")
 		Eventually(func() string { return patient.value("config") }).Should(Equal("1"))
 		time.Sleep(400 * time.Millisecond)
 		Expect(own.called()).To(BeZero())
@@ -179,8 +179,8 @@
 		all[order[0]], all[order[1]] = first, second
 		mu.Unlock()
 		for _, p := range all {
-			p.facts.SeeGateway("a")
-			p.facts.SeeGateway("b")
+			p.facts.NoteGateway("a")
+			p.facts.NoteGateway("b")
 			Eventually(func() string { return p.value("u") }).Should(Equal("here"))
 		}
 		reads := func() bool {
@@ -191,8 +191,8 @@
 		}
 		known := func() {
 			for _, p := range all {
-				p.facts.SeeGateway("a")
-				p.facts.SeeGateway("b")
+				p.facts.NoteGateway("a")
+				p.facts.NoteGateway("b")
 			}
 		}
 		Eventually(reads).WithTimeout(5*time.Second).Should(BeFalse(), "it follows the first one")
--- a/internal/reports/far_test.go
+++ b/internal/reports/far_test.go
@@ -98,9 +98,9 @@
 	)
 
 	it("come at once and once more when an instance leaves", func() {
-		f.SetInstance(&facts.Instance{ID: "i", Address: "a", Seen: 3})
+		f.SetInstance(&facts.Instance{ID: "i", Address: "a", ListPosition: 3})
 		count(farEvery, &pb.UpstreamReport{})
-		f.SetInstance(&facts.Instance{ID: "i", Address: "a", Seen: 4, Leaving: true})
+		f.SetInstance(&facts.Instance{ID: "i", Address: "a", ListPosition: 4, Leaving: true})
 		Expect(got(&pb.UpstreamReport{}).GetWords()).To(HaveLen(1))
 		Expect(got(&pb.UpstreamReport{}).GetWords()).To(HaveLen(1))
 	})
--- a/internal/reports/probe_test.go
+++ b/internal/reports/probe_test.go
@@ -31,7 +31,7 @@
 		}
 		s.probe()
 		Expect(comes()).To(BeFalse(), "nothing newer is named")
-		f.SetWanted("m", facts.Naming{Revision: 2, Date: dating.TimeBounds{After: now}})
+		f.SetWanted("m", facts.Publication{Revision: 2, PublishTime: dating.TimeBounds{After: now}})
 		s.probe()
 		Expect(comes()).To(BeTrue())
 		s.tracker.SetReport("127.0.0.1:9", placement.LoadReport{Taken: now, Held: []facts.Held{{Model: "m", Revision: 2}}})
@@ -47,7 +47,7 @@
 		stager := socket()
 		i := &facts.Instance{ID: "i", Pool: "p", Domain: "elsewhere", Address: "127.0.0.1:9", Held: []facts.Held{{Model: "m", Revision: 1}}}
 		f.SetInstance(i)
-		f.SetWanted("m", facts.Naming{Revision: 2, Date: dating.TimeBounds{After: now}})
+		f.SetWanted("m", facts.Publication{Revision: 2, PublishTime: dating.TimeBounds{After: now}})
 		s := NewSubscriber(socket(), port(stager), "d", f, clock, quiet)
 		comes := func() *pb.ReportSubscription {
 			_ = stager.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
--- a/internal/reports/reporter.go
+++ b/internal/reports/reporter.go
@@ -135,16 +135,16 @@
 		r.vars.Add("malformed", 1)
 		return
 	}
-	r.facts.Heard(id.Position(s.GetConfigOffset()))
+	r.facts.NoteConfigOffset(id.Position(s.GetConfigOffset()))
 	for _, h := range s.GetProved() {
-		if r.facts.Prove(id.Model(h.GetModel()), id.Revision(h.GetRevision())) {
+		if r.facts.ObserveRevision(id.Model(h.GetModel()), id.Revision(h.GetRevision())) {
 			r.log.Warn().Str("model", h.GetModel()).Uint64("revision", h.GetRevision()).Str("gateway", s.GetSender()).
 				Msg("a gateway knows of a newer version than any record names")
 		}
 	}
 	near := id.Domain(s.GetDomain()) == r.domain
 	if near {
-		r.facts.SeeGateway(s.GetSender())
+		r.facts.NoteGateway(s.GetSender())
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -184,7 +184,7 @@
 		}
 	}
 	r.number++
-	heard, _ := r.facts.Hearing()
+	heard, _ := r.facts.ConfigOffset()
 	p.ConfigOffset = uint64(heard)
 	if c := r.facts.Catalog(); c != nil {
 		p.Config = c.Revision
@@ -258,9 +258,9 @@
 	for _, h := range p.GetHeld() {
 		told += fmt.Sprint(" ", h.GetModel(), h.GetRevision())
 	}
-	words, _ := r.facts.Told(now.Add(-wordFresh))
+	words, _ := r.facts.Announcements(now.Add(-wordFresh))
 	for _, w := range words {
-		told += fmt.Sprint(" ", w.Instance, w.Born, w.Left, w.At)
+		told += fmt.Sprint(" ", w.Instance, w.Born, w.Left, w.Position)
 	}
 	if told != r.told {
 		r.told, r.urgent = told, urgentReports
@@ -277,15 +277,15 @@
 
 // words tells which instances have left the upstream's address by the own list; the caller holds the lock.
 func (r *Reporter) words(address string, now time.Time) []*pb.ListWord {
-	r.facts.Watch(address)
+	r.facts.WatchAddress(address)
 	since := now.Add(-wordFresh)
 	if r.number%nameEvery == 0 {
 		since = time.Time{}
 	}
-	told, _ := r.facts.Told(since)
+	told, _ := r.facts.Announcements(since)
 	var l []*pb.ListWord
 	for _, w := range told {
-		l = append(l, &pb.ListWord{Instance: string(w.Instance), Born: uint64(w.Born), Left: w.Left, Offset: uint64(w.At)})
+		l = append(l, &pb.ListWord{Instance: string(w.Instance), Born: uint64(w.Born), Left: w.Left, Offset: uint64(w.Position)})
 	}
 	return l
 }
--- a/internal/reports/subscribe.go
+++ b/internal/reports/subscribe.go
@@ -64,7 +64,7 @@
 
 // subscription encodes what a group of stagers is told.
 func (s *Subscriber) subscription(of group) text {
-	heard, _ := s.facts.Hearing()
+	heard, _ := s.facts.ConfigOffset()
 	now := s.now()
 	stamp := s.stamps.at(now)
 	b, err := proto.Marshal(&pb.ReportSubscription{
@@ -85,7 +85,7 @@
 		return nil
 	}
 	for _, m := range c.Services[p].Engine.Models {
-		if r := s.facts.Proved(m); r > 0 {
+		if r := s.facts.ObservedRevision(m); r > 0 {
 			l = append(l, &pb.HeldWeights{Model: string(m), Revision: uint64(r)})
 		}
 	}
@@ -187,5 +187,5 @@
 	}
 	s.mu.Unlock()
 	s.tracker.Sweep(listed)
-	s.facts.SweepWords()
+	s.facts.SweepAnnouncements()
 }
--- a/internal/reports/subscriber.go
+++ b/internal/reports/subscriber.go
@@ -223,9 +223,9 @@
 		return
 	}
 	s.vars.Add("taken", 1)
-	s.facts.Heard(id.Position(r.GetConfigOffset()))
+	s.facts.NoteConfigOffset(id.Position(r.GetConfigOffset()))
 	for _, a := range r.GetGateways() {
-		s.facts.SeeGateway(a)
+		s.facts.NoteGateway(a)
 	}
 	made := s.stamps.moment(r.GetEcho(), s.now())
 	s.date(r.GetAddress(), r.GetNamed(), made)
@@ -262,7 +262,7 @@
 
 // prove takes a version that an upstream serves as named.
 func (s *Subscriber) prove(upstream string, h *pb.HeldWeights) {
-	if s.facts.Prove(id.Model(h.GetModel()), id.Revision(h.GetRevision())) {
+	if s.facts.ObserveRevision(id.Model(h.GetModel()), id.Revision(h.GetRevision())) {
 		s.log.Warn().Str("model", h.GetModel()).Uint64("revision", h.GetRevision()).Str("upstream", upstream).
 			Msg("an upstream serves a newer version than any record names")
 	}
@@ -285,7 +285,7 @@
 	if n.GetAgeMs() >= 0 && !made.IsZero() {
 		d.After = made.Add(-time.Duration(n.GetAgeMs()) * time.Millisecond)
 	}
-	o := s.facts.Date(id.Model(n.GetModel()), id.Revision(n.GetRevision()), d)
+	o := s.facts.MergePublishTime(id.Model(n.GetModel()), id.Revision(n.GetRevision()), d)
 	if o == dating.Refused {
 		s.vars.Add("dates_refused", 1)
 	}
@@ -300,10 +300,10 @@
 // hear takes a word on an instance at the upstream's address. The own list may lack it, late or for good.
 func (s *Subscriber) hear(r *pb.UpstreamReport, w *pb.ListWord) {
 	n := id.Instance(w.GetInstance())
-	word := facts.Word{
-		Instance: n, Born: id.Birth(w.GetBorn()), Address: r.GetAddress(), Left: w.GetLeft(), At: id.Position(w.GetOffset()),
+	word := facts.Announcement{
+		Instance: n, Born: id.Birth(w.GetBorn()), Address: r.GetAddress(), Left: w.GetLeft(), Position: id.Position(w.GetOffset()),
 	}
-	if !s.facts.Hear(word) {
+	if !s.facts.ApplyAnnouncement(word) {
 		return
 	}
 	text := "upstream has left by a report"
@@ -311,12 +311,12 @@
 		text = "upstream is back by a report"
 	}
 	s.vars.Add("words_before_list", 1)
-	e := s.log.Info().Str("instance", string(n)).Str("upstream", word.Address).Uint64("offset", word.At.Offset()).
-		Uint64("list_offset", s.facts.Position().Offset()).Uint64("stager", r.GetIncarnation()).Uint64("report", r.GetNumber())
+	e := s.log.Info().Str("instance", string(n)).Str("upstream", word.Address).Uint64("offset", word.Position.Offset()).
+		Uint64("list_offset", s.facts.ListPosition().Offset()).Uint64("stager", r.GetIncarnation()).Uint64("report", r.GetNumber())
 	if i := s.facts.Instance(n); i != nil {
-		e = e.Uint64("entry_offset", i.Seen.Offset())
+		e = e.Uint64("entry_offset", i.ListPosition.Offset())
 	}
-	e.Uint64("era", word.At.Era()).Msg(text)
+	e.Uint64("era", word.Position.Era()).Msg(text)
 }
 
 // newer notes a report's place and says whether it follows all that came before.
--- a/internal/reports/word_test.go
+++ b/internal/reports/word_test.go
@@ -27,7 +27,7 @@
 	var s *Subscriber
 	var own *net.UDPConn
 	entry := func(seen id.Position, leaving bool) *facts.Instance {
-		return &facts.Instance{ID: "i", Address: "a", Seen: seen, Leaving: leaving}
+		return &facts.Instance{ID: "i", Address: "a", ListPosition: seen, Leaving: leaving}
 	}
 	subscribe := func() {
 		b, _ := proto.Marshal(&pb.ReportSubscription{Sender: own.LocalAddr().String(), Domain: "e", Each: true})
@@ -126,7 +126,7 @@
 		long := strings.Repeat("x", 40)
 		now = now.Add(time.Second)
 		for k := range 4 {
-			far.SetInstance(&facts.Instance{ID: id.Instance(long + itoa(k+1)), Address: "a", Born: math.MaxInt64, Seen: math.MaxUint64, Leaving: true})
+			far.SetInstance(&facts.Instance{ID: id.Instance(long + itoa(k+1)), Address: "a", Born: math.MaxInt64, ListPosition: math.MaxUint64, Leaving: true})
 		}
 		p := &pb.UpstreamReport{
 			Address: "255.255.255.255:65535", Born: math.MaxInt64, Incarnation: math.MaxUint64, Number: math.MaxUint64, Pace: 1, KvUsed: math.MaxUint64,
@@ -151,7 +151,7 @@
 	it("is logged once, with the places of the word and of what the own list has", func() {
 		var text bytes.Buffer
 		s.log = &log.Logger{Level: log.InfoLevel, Writer: log.IOWriter{Writer: &text}}
-		near.ReadTo(6)
+		near.NoteListPosition(6)
 		far.SetInstance(entry(4, true))
 		for range 3 {
 			s.take(publish())
--- a/internal/stager/load.go
+++ b/internal/stager/load.go
@@ -46,7 +46,7 @@
 // served says whether the upstream serves the version.
 func (s *Stager) served(g *goal) bool {
 	state, up := s.current()
-	return up && facts.Revision(state.Held, g.model) == g.wanted.Revision
+	return up && facts.HeldRevision(state.Held, g.model) == g.wanted.Revision
 }
 
 // stage lays the chunks beside the upstream as they come, until all are there.
@@ -80,7 +80,7 @@
 // late.
 func (s *Stager) closeAhead(g *goal) {
 	state, up := s.current()
-	if !up || facts.Revision(state.Held, g.model) == 0 || g.wanted.Learnt.IsZero() || s.superseded(g) {
+	if !up || facts.HeldRevision(state.Held, g.model) == 0 || g.wanted.LearntAt.IsZero() || s.superseded(g) {
 		return
 	}
 	if g.closedAhead {
@@ -98,7 +98,7 @@
 	if held == 0 || all == 0 || s.loadAt(g, now).After(now) {
 		return
 	}
-	left := s.now().Sub(g.wanted.Learnt) / time.Duration(held) * time.Duration(all-held)
+	left := s.now().Sub(g.wanted.LearntAt) / time.Duration(held) * time.Duration(all-held)
 	if left <= swapplan.LateArrivalWait {
 		g.closedAhead = true
 		s.setClosed(true)
@@ -110,10 +110,10 @@
 
 // sinceNamed is the time since this process read of the version in ms, or 0 for a version that was there before.
 func (s *Stager) sinceNamed(g *goal) int64 {
-	if g.wanted.Learnt.IsZero() {
+	if g.wanted.LearntAt.IsZero() {
 		return 0
 	}
-	return s.now().Sub(g.wanted.Learnt).Milliseconds()
+	return s.now().Sub(g.wanted.LearntAt).Milliseconds()
 }
 
 // verified compares what lies staged with the verified chunks until one life of the upstream has been looked at from the first
@@ -200,7 +200,7 @@
 	g.loading.Store(true)
 	s.setClosed(true)
 	before, _ := s.current()
-	swaps := facts.Revision(before.Held, g.model) > 0
+	swaps := facts.HeldRevision(before.Held, g.model) > 0
 	if swaps {
 		s.drain(ctx)
 	}
@@ -256,7 +256,7 @@
 			if err == nil && state.Running > 0 {
 				until = s.now().Add(loadTimeout)
 			}
-		case facts.Revision(state.Held, g.model) == g.wanted.Revision:
+		case facts.HeldRevision(state.Held, g.model) == g.wanted.Revision:
 			s.log.Info().Str("version", g.name()).Int64("since_named_ms", s.sinceNamed(g)).Msg("version served")
 			s.look(ctx)
 			return nil
@@ -280,7 +280,7 @@
 func (s *Stager) keep(ctx context.Context, g *goal) error {
 	for ctx.Err() == nil && !s.superseded(g) {
 		state, up := s.current()
-		if up && !state.Busy && facts.Revision(state.Held, g.model) != g.wanted.Revision {
+		if up && !state.Busy && facts.HeldRevision(state.Held, g.model) != g.wanted.Revision {
 			s.log.Warn().Str("version", g.name()).Msg("the upstream serves the version no longer")
 			return nil
 		}
--- a/internal/stager/part.go
+++ b/internal/stager/part.go
@@ -142,7 +142,7 @@
 	t.Uploads, t.Downloads, t.Patience, t.DrawTimeout = uploads, downloads, patience, drawTimeout
 	t.QueueMost, t.HaveEvery = queueMost, newsEvery
 	st := &Stager{down: true, out: swapplan.DefaultSwapDuration, settings: s, ports: p, facts: f, log: g, now: clock.Now, peers: l, orders: new(expvar.Map)}
-	f.Watch(p.Address)
+	f.WatchAddress(p.Address)
 	st.env = transfer.Env{
 		Settings: t, Self: self, Shelf: transfer.NewShelf(int64(s.MemoryBytes)), Log: g, Events: e, Stats: &st.stats,
 	}
@@ -178,13 +178,13 @@
 // tellWords reports at once when the list says that an instance has left the upstream's address, or is back: a gateway's own
 // list may lack it.
 func (s *Stager) tellWords(ctx context.Context) {
-	_, changed := s.facts.Told(time.Time{})
+	_, changed := s.facts.Announcements(time.Time{})
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
-			_, changed = s.facts.Told(time.Time{})
+			_, changed = s.facts.Announcements(time.Time{})
 			s.publish()
 		}
 	}
@@ -225,7 +225,7 @@
 
 // prove takes a version that exists as named.
 func (s *Stager) prove(m id.Model, r id.Revision, at string) {
-	if s.facts.Prove(m, r) {
+	if s.facts.ObserveRevision(m, r) {
 		s.log.Warn().Str("model", string(m)).Uint64("revision", uint64(r)).Str("at", at).
 			Msg("there is a newer version than any record names")
 	}
@@ -284,10 +284,10 @@
 // process has read of it is told also where it does not know since when it is named: no later date is right.
 func (s *Stager) named() *pb.NamedWeights {
 	g, ok := s.goal()
-	if !ok || g.wanted.Learnt.IsZero() {
+	if !ok || g.wanted.LearntAt.IsZero() {
 		return nil
 	}
-	now, d := s.now(), g.wanted.Date
+	now, d := s.now(), g.wanted.PublishTime
 	n := &pb.NamedWeights{
 		Model: string(g.model), Revision: uint64(g.wanted.Revision), AgeMs: -1, HadMs: now.Sub(d.KnownAt).Milliseconds(), Origin: d.Source.Proto(),
 	}
--- a/internal/stager/plan.go
+++ b/internal/stager/plan.go
@@ -15,9 +15,9 @@
 // requests as it is may load at once.
 func (s *Stager) view(g *goal, staged time.Time) (swapplan.Inputs, bool) {
 	state, _ := s.current()
-	held := facts.Revision(state.Held, g.model)
-	until := s.facts.Until(g.model, held, s.settings.SwapWithin)
-	if held == 0 || until.IsZero() || g.wanted.Learnt.IsZero() {
+	held := facts.HeldRevision(state.Held, g.model)
+	until := s.facts.ServableUntil(g.model, held, s.settings.SwapWithin)
+	if held == 0 || until.IsZero() || g.wanted.LearntAt.IsZero() {
 		return swapplan.Inputs{}, false
 	}
 	v := swapplan.Inputs{StagedAt: staged, ServableUntil: until.Add(-swapplan.CloseMargin), SwapDuration: s.expectedOut()}
@@ -27,11 +27,11 @@
 			continue
 		}
 		vms = append(vms, id.VM(i.Address))
-		other := facts.Revision(i.Held, g.model)
+		other := facts.HeldRevision(i.Held, g.model)
 		if other == 0 || other >= held {
 			continue
 		}
-		if end := s.facts.Until(g.model, other, s.settings.SwapWithin).Add(-swapplan.CloseMargin); end.After(v.OlderServableUntil) {
+		if end := s.facts.ServableUntil(g.model, other, s.settings.SwapWithin).Add(-swapplan.CloseMargin); end.After(v.OlderServableUntil) {
 			v.OlderServableUntil = end
 		}
 	}
@@ -47,7 +47,7 @@
 		return swapplan.Needed
 	}
 	held, all := n.holding.Count()
-	next := swapplan.NextVersion{StartedAt: n.begun, ChunksHeld: held, ChunksTotal: all, UsualDuration: v.StagedAt.Sub(g.wanted.Learnt)}
+	next := swapplan.NextVersion{StartedAt: n.begun, ChunksHeld: held, ChunksTotal: all, UsualDuration: v.StagedAt.Sub(g.wanted.LearntAt)}
 	return swapplan.NeedFor(v.ServableUntil, v.SwapDuration, next, s.now())
 }
 
--- a/internal/stager/proved_test.go
+++ b/internal/stager/proved_test.go
@@ -26,9 +26,9 @@
 		e := newEngine()
 		e.newest = 3
 		_, f := start(e, time.Second)
-		f.SetWanted("m", facts.Naming{Revision: 2})
+		f.SetWanted("m", facts.Publication{Revision: 2})
 		Eventually(e.serves).WithTimeout(soon).Should(Equal(id.Revision(3)))
-		Expect(f.Proved("m")).To(Equal(id.Revision(3)))
+		Expect(f.ObservedRevision("m")).To(Equal(id.Revision(3)))
 		for _, o := range e.orders {
 			Expect(o.Revision).To(Equal(id.Revision(3)))
 		}
--- a/internal/stager/stager_test.go
+++ b/internal/stager/stager_test.go
@@ -189,7 +189,7 @@
 func (e *engine) serves() id.Revision {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return facts.Revision(e.state.Held, "m")
+	return facts.HeldRevision(e.state.Held, "m")
 }
 
 // start runs a stager alone in its swarm.
@@ -280,13 +280,13 @@
 	It("tells since when a version is named while that matters, and only where it knows it", func() {
 		s, f := start(newEngine(facts.Held{Model: "m", Revision: 1}), time.Second)
 		Expect(s.named()).To(BeNil(), "nothing was named")
-		f.SetWanted("m", facts.Naming{Revision: 2})
+		f.SetWanted("m", facts.Publication{Revision: 2})
 		Expect(s.named().GetAgeMs()).To(BeNumerically("<", 0), "it is not known since when")
 		Expect(s.named().GetHadMs()).To(BeNumerically("<", 1000), "that this process has read of it is")
-		f.Date("m", 2, dating.TimeBounds{After: time.Now().Add(-2 * time.Second)})
+		f.MergePublishTime("m", 2, dating.TimeBounds{After: time.Now().Add(-2 * time.Second)})
 		Expect(s.named().GetRevision()).To(Equal(uint64(2)))
 		Expect(s.named().GetAgeMs()).To(BeNumerically("~", 2000, 500))
-		f.SetWanted("m", facts.Naming{Revision: 3, Date: dating.TimeBounds{After: time.Now().Add(-2 * tellNaming)}})
+		f.SetWanted("m", facts.Publication{Revision: 3, PublishTime: dating.TimeBounds{After: time.Now().Add(-2 * tellNaming)}})
 		Expect(s.named()).To(BeNil(), "it is over")
 	})
 
@@ -370,7 +370,7 @@
 		}
 		s.env.Self = swarm.Member{VM: "127.0.0.1:9", Domain: "d"}
 		shelf := transfer.NewShelf(1 << 20)
-		g := &goal{model: "m", pool: "p", wanted: facts.Wanted{Revision: 2, Learnt: now.Add(-time.Second)}}
+		g := &goal{model: "m", pool: "p", wanted: facts.Wanted{Revision: 2, LearntAt: now.Add(-time.Second)}}
 		g.holding, err = shelf.Open(&pb.Rollout{Id: "m@2", Version: &pb.Version{TotalBytes: chunks * chunkBytes, ChunkBytes: chunkBytes}})
 		Expect(err).NotTo(HaveOccurred())
 		m, err := manifest.New(bytes.NewReader(content(2)), chunkBytes)
@@ -396,11 +396,11 @@
 })
 
 // named is what a process has read of weights that are named just now.
-func named(r id.Revision) facts.Naming {
+func named(r id.Revision) facts.Publication {
 	return namedAt(r, time.Now())
 }
 
 // namedAt is the naming of a version at a moment.
-func namedAt(r id.Revision, t time.Time) facts.Naming {
-	return facts.Naming{Revision: r, Date: dating.TimeBounds{After: t}, Missed: t}
+func namedAt(r id.Revision, t time.Time) facts.Publication {
+	return facts.Publication{Revision: r, PublishTime: dating.TimeBounds{After: t}, CompleteUntil: t}
 }
--- a/internal/stager/word_test.go
+++ b/internal/stager/word_test.go
@@ -45,12 +45,12 @@
 		for k := range id.Position(6) {
 			n := id.Instance(rune('i' + k))
 			named := func(w *pb.ListWord) bool { return w.GetInstance() == string(n) && w.GetLeft() }
-			f.SetInstance(&facts.Instance{ID: n, Pool: "p", Address: s.ports.Address, Seen: 2 * k})
+			f.SetInstance(&facts.Instance{ID: n, Pool: "p", Address: s.ports.Address, ListPosition: 2 * k})
 			// Right after a report the next one that is due is reportEvery away.
 			Expect(read().GetDown()).To(BeFalse())
 			at := time.Now()
 			if k%2 == 0 {
-				f.SetInstance(&facts.Instance{ID: n, Pool: "p", Address: s.ports.Address, Seen: 2*k + 1, Leaving: true})
+				f.SetInstance(&facts.Instance{ID: n, Pool: "p", Address: s.ports.Address, ListPosition: 2*k + 1, Leaving: true})
 			} else {
 				f.DropInstance(n, 2*k+1)
 			}
--- a/internal/stager/work.go
+++ b/internal/stager/work.go
@@ -231,7 +231,7 @@
 // power no upstream serves it.
 func (s *Stager) manifest(ctx context.Context, g *goal) (*pb.Manifest, error) {
 	r := g.wanted.Revision
-	if g.wanted.Date.After.IsZero() && !s.superseded(g) {
+	if g.wanted.PublishTime.After.IsZero() && !s.superseded(g) {
 		r = 0
 	}
 	m, is, err := s.ports.Origin.Manifest(ctx, g.origin, g.model, r)
