--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -43,23 +43,23 @@
 }
 
 // presence is the request as those see it who look for what crashes upstreams.
-func (f *flight) presence() quarantine.Presence {
-	return quarantine.Presence{Fingerprint: f.fingerprint, Organisation: f.org, Try: quarantine.TryOf(f.ask.Request), Alone: f.alone}
+func (f *flight) presence() quarantine.InFlightRequest {
+	return quarantine.InFlightRequest{Fingerprint: f.fingerprint, Organisation: f.org, Attempt: quarantine.CallerAttemptOf(f.ask.Request), Alone: f.alone}
 }
 
 // at is the start of the upstream that the request was sent to.
-func (t *attempt) at() quarantine.Start {
-	return quarantine.Start{Address: t.choice.Address, Instance: t.choice.Instance, Born: t.choice.Born}
+func (t *attempt) at() quarantine.Incarnation {
+	return quarantine.Incarnation{Address: t.choice.Address, Instance: t.choice.Instance, Born: t.choice.Born}
 }
 
 // left notes that the request was given up at its upstream, which may begin it all the same.
 func (t *attempt) left() {
-	t.flight.gateway.witness.Left(t.at(), t.flight.presence())
+	t.flight.gateway.witness.RequestAbandoned(t.at(), t.flight.presence())
 }
 
 // ended says whether an upstream's process has ended: its VM refuses connections. One that is silent may be cut off,
 // frozen or without power, and no request does that.
-func (g *Gateway) ended(ctx context.Context, s quarantine.Start) (ended, known bool) {
+func (g *Gateway) ended(ctx context.Context, s quarantine.Incarnation) (ended, known bool) {
 	return g.pool.Refused(ctx, s.Address, s.Born)
 }
 
--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -69,9 +69,9 @@
 // suspect makes a gateway's list suspect a request as so many upstreams have ended under it.
 func (b *testbed) suspect(f quarantine.Fingerprint, ends int) {
 	for n := range ends {
-		b.list.Hear(quarantine.End{
-			Start:    quarantine.Start{Instance: id.Instance(strconv.Itoa(n)), Address: "a"},
-			Requests: []quarantine.Presence{{Fingerprint: f}},
+		b.list.RecordCrash(quarantine.Crash{
+			Incarnation:    quarantine.Incarnation{Instance: id.Instance(strconv.Itoa(n)), Address: "a"},
+			Requests: []quarantine.InFlightRequest{{Fingerprint: f}},
 		})
 	}
 }
@@ -89,7 +89,7 @@
 	It("is not sent on and told when to come back, and others from the same caller are served", func() {
 		b := newTestbed(route(catalog.Streaming, "engines"))
 		b.upstream("u", "engines", whole)
-		b.list.Take(quarantine.Hold{Fingerprint: bad})
+		b.list.AddHeld(quarantine.HeldRequest{Fingerprint: bad})
 		a, body, err := b.ask("POST", "/p/", "bad", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(http.StatusServiceUnavailable))
@@ -178,7 +178,7 @@
 			Eventually(func() int { return b.runs(name) }).Should(Equal(1))
 		}
 		time.Sleep(50 * time.Millisecond)
-		b.list.Take(quarantine.Hold{Fingerprint: bad})
+		b.list.AddHeld(quarantine.HeldRequest{Fingerprint: bad})
 		Eventually(gone).Should(Receive())
 		Eventually(answers).Should(Receive(HavePrefix("waits 502")))
 		close(release)
@@ -192,7 +192,7 @@
 		b.facts.SetCatalog(catalog.New(8, []*catalog.Route{&r}, []*catalog.Service{{Name: "plain"}}, nil, catalog.Limits{BodyBytes: 2 * heldBody}))
 		b.upstream("u", "plain", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 200, "", "ran") })
 		long := strings.Repeat("x", heldBody)
-		b.list.Take(quarantine.Hold{Fingerprint: quarantine.Of("POST", "/p/", "", []byte(long))})
+		b.list.AddHeld(quarantine.HeldRequest{Fingerprint: quarantine.Of("POST", "/p/", "", []byte(long))})
 		a, _, err := b.ask("POST", "/p/", long+"tail")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(http.StatusServiceUnavailable))
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -84,7 +84,7 @@
 	gateway *Gateway
 	facts   *facts.Facts
 	tracker *placement.Tracker
-	list    *quarantine.List
+	list    *quarantine.SuspectTracker
 	server  *httptest.Server
 	mu      sync.Mutex
 	arrived map[string][]string
@@ -111,7 +111,7 @@
 		Demand:  func(id.Pool) placement.Demand { return placement.Demand{} },
 	}
 	q := unsuspecting()
-	b.list = q.List
+	b.list = q.Suspects
 	b.gateway = New(NewSettings(), testDialect(), f, load, q, dial, "d", quiet)
 	b.gateway.now = now
 	b.server = httptest.NewServer(b.gateway)
@@ -122,8 +122,8 @@
 // unsuspecting is a quarantine that hears of nothing from other gateways.
 func unsuspecting() *quarantine.Quarantine {
 	return &quarantine.Quarantine{
-		List: quarantine.NewList("vm", time.Now, &log.Logger{Level: log.PanicLevel}),
-		Tell: func(quarantine.News) {},
+		Suspects: quarantine.NewSuspectTracker("vm", time.Now, &log.Logger{Level: log.PanicLevel}),
+		Broadcast: func(quarantine.CrashNews) {},
 	}
 }
 
--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -92,8 +92,8 @@
 	budget   *placement.Budget
 	patience *placement.Patience
 	pool     *upconn.Pool
-	list     *quarantine.List
-	witness  *quarantine.Witness
+	list     *quarantine.SuspectTracker
+	witness  *quarantine.CrashDetector
 	flights  *flights
 	domain   id.Domain
 	log      *log.Logger
@@ -154,12 +154,12 @@
 		budget:    placement.NewBudget(rule, k.Gateways, clock.Now),
 		patience:  placement.NewPatience(clock.Now),
 		pool:      upconn.New(connect, clock.Now, d.Echoed),
-		list:      q.List,
+		list:      q.Suspects,
 		flights:   newFlights(),
 		random:    func() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) },
 	}
-	g.witness = quarantine.NewWitness(g.ended, q.Saw, clock.Now)
-	q.List.OnHeld = append(q.List.OnHeld, func(h quarantine.Hold) { g.flights.stop(h.Fingerprint) })
+	g.witness = quarantine.NewCrashDetector(g.ended, q.ReportCrash, clock.Now)
+	q.Suspects.OnHeld = append(q.Suspects.OnHeld, func(h quarantine.HeldRequest) { g.flights.stop(h.Fingerprint) })
 	g.pool.Dialled = func() { g.tally.add("dialled") }
 	g.server = &http.Server{
 		Handler: g, ReadHeaderTimeout: headTimeout, IdleTimeout: callerIdle, MaxHeaderBytes: mostHead,
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -6,60 +6,60 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// Start is one start of an upstream's process.
-type Start struct {
+// Incarnation is one start of an upstream's process.
+type Incarnation struct {
 	Address  string
 	Instance id.Instance
 	// Born tells the starts of one instance apart; 0 where it is not known.
 	Born id.Birth
 }
 
-// Try tells the tries of a request's callers apart, each of which has an id of its own.
-type Try uint32
+// CallerAttempt tells the tries of a request's callers apart, each of which has an id of its own.
+type CallerAttempt uint32
 
-// TryOf returns the try with an id.
-func TryOf(r id.Request) Try {
+// CallerAttemptOf returns the try with an id.
+func CallerAttemptOf(r id.Request) CallerAttempt {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(r))
-	return Try(h.Sum32())
+	return CallerAttempt(h.Sum32())
 }
 
-// Presence is a request that an upstream had when its process ended.
-type Presence struct {
+// InFlightRequest is a request that an upstream had when its process ended.
+type InFlightRequest struct {
 	Fingerprint  Fingerprint
 	Organisation id.Organisation
-	Try          Try
+	Attempt          CallerAttempt
 	// Alone is true of one that was sent on alone, as it was suspected.
 	Alone bool
 }
 
-// End is the end of an upstream's process as one gateway has seen it, with that gateway's own requests there.
-type End struct {
-	Start    Start
-	Requests []Presence
+// Crash is the end of an upstream's process as one gateway has seen it, with that gateway's own requests there.
+type Crash struct {
+	Incarnation    Incarnation
+	Requests []InFlightRequest
 }
 
-// Hold is a request that is held: it is not sent to upstreams any more.
-type Hold struct {
+// HeldRequest is a request that is held: it is not sent to upstreams any more.
+type HeldRequest struct {
 	Fingerprint  Fingerprint
 	Organisation id.Organisation
-	// Starts are those that ended under it.
-	Starts []Start
-	// By is the VM whose gateway held it first, as far as it is known, and SinceUnixMs when, by that VM's time of day,
+	// Incarnations are those that ended under it.
+	Incarnations []Incarnation
+	// HeldBy is the VM whose gateway held it first, as far as it is known, and SinceUnixMs when, by that VM's time of day,
 	// which may jump: it is for people to read and decides nothing.
-	By          id.VM
+	HeldBy          id.VM
 	SinceUnixMs int64
 	// refused is how often this process has refused it.
 	refused uint64
 }
 
-// News is what gateways tell each other.
-type News struct {
-	Ends []End
+// CrashNews is what gateways tell each other.
+type CrashNews struct {
+	Crashes []Crash
 	// Served are requests that have been answered whole although they were suspected.
 	Served []Fingerprint
 	// Held are requests that the teller holds from now on.
-	Held []Hold
+	Held []HeldRequest
 }
 
 // Verdict is what a gateway may do with a request.
--- a/internal/quarantine/held.go
+++ b/internal/quarantine/held.go
@@ -16,16 +16,16 @@
 
 // held is the set of held requests.
 type held struct {
-	entries map[Fingerprint]*Hold
+	entries map[Fingerprint]*HeldRequest
 	// order lists each organisation's from the oldest on.
 	order map[id.Organisation][]Fingerprint
 }
 
 func newHeld() *held {
-	return &held{entries: map[Fingerprint]*Hold{}, order: map[id.Organisation][]Fingerprint{}}
+	return &held{entries: map[Fingerprint]*HeldRequest{}, order: map[id.Organisation][]Fingerprint{}}
 }
 
-func (h *held) get(f Fingerprint) *Hold {
+func (h *held) get(f Fingerprint) *HeldRequest {
 	return h.entries[f]
 }
 
@@ -34,7 +34,7 @@
 }
 
 // put adds an entry, and returns the one that was let go for it, or nil.
-func (h *held) put(e Hold) (dropped *Hold) {
+func (h *held) put(e HeldRequest) (dropped *HeldRequest) {
 	h.drop(e.Fingerprint)
 	switch {
 	case len(h.order[e.Organisation]) >= mostOfOne:
@@ -58,7 +58,7 @@
 }
 
 // drop removes an entry and returns it, or nil.
-func (h *held) drop(f Fingerprint) *Hold {
+func (h *held) drop(f Fingerprint) *HeldRequest {
 	e := h.entries[f]
 	if e == nil {
 		return nil
@@ -74,12 +74,12 @@
 }
 
 // list returns all entries, the oldest first.
-func (h *held) list() []Hold {
-	l := make([]Hold, 0, len(h.entries))
+func (h *held) list() []HeldRequest {
+	l := make([]HeldRequest, 0, len(h.entries))
 	for _, e := range h.entries {
 		l = append(l, *e)
 	}
-	slices.SortFunc(l, func(a, b Hold) int {
+	slices.SortFunc(l, func(a, b HeldRequest) int {
 		if a.SinceUnixMs != b.SinceUnixMs {
 			return int(a.SinceUnixMs - b.SinceUnixMs)
 		}
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -30,11 +30,11 @@
 	writeWithin = 500 * time.Millisecond
 )
 
-// Keeper keeps held requests in the platform's store, where they outlast all processes, and brings those of others into the list.
-type Keeper struct {
+// Persister keeps held requests in the platform's store, where they outlast all processes, and brings those of others into the list.
+type Persister struct {
 	store records.Store
 	topic string
-	list  *List
+	list  *SuspectTracker
 	now   func() time.Time
 	log   *log.Logger
 
@@ -54,15 +54,15 @@
 	at    time.Time
 }
 
-// NewKeeper makes a keeper for a list over a topic of the store.
-func NewKeeper(s records.Store, topic string, l *List, now func() time.Time, g *log.Logger) *Keeper {
-	return &Keeper{
+// NewPersister makes a keeper for a list over a topic of the store.
+func NewPersister(s records.Store, topic string, l *SuspectTracker, now func() time.Time, g *log.Logger) *Persister {
+	return &Persister{
 		store: s, topic: topic, list: l, now: now, log: g, due: map[Fingerprint]write{}, stored: map[Fingerprint]bool{}, lifted: map[Fingerprint]bool{}, wake: make(chan struct{}, 1),
 	}
 }
 
 // Run follows and writes until the context ends.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Persister) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	wg.Go(func() { k.write(ctx) })
 	k.follow(ctx)
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// Keep has a held request written, unless another process does it first.
-func (k *Keeper) Keep(h Hold) {
+// Persist has a held request written, unless another process does it first.
+func (k *Persister) Persist(h HeldRequest) {
 	b, err := proto.Marshal(h.tell())
 	if err != nil {
 		k.log.Error().Err(err).Stringer("fingerprint", h.Fingerprint).Msg("a held request can't be encoded")
@@ -84,8 +84,8 @@
 	}
 }
 
-// Drop has the record of a request that is no longer held removed.
-func (k *Keeper) Drop(f Fingerprint) {
+// Remove has the record of a request that is no longer held removed.
+func (k *Persister) Remove(f Fingerprint) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	_, due := k.due[f]
@@ -95,7 +95,7 @@
 }
 
 // plan notes a record to write; the caller holds the lock.
-func (k *Keeper) plan(f Fingerprint, w write) {
+func (k *Persister) plan(f Fingerprint, w write) {
 	k.due[f] = w
 	select {
 	case k.wake <- struct{}{}:
@@ -104,7 +104,7 @@
 }
 
 // write writes what is due until the context ends.
-func (k *Keeper) write(ctx context.Context) {
+func (k *Persister) write(ctx context.Context) {
 	for ctx.Err() == nil {
 		f, w, wait := k.next()
 		if wait > 0 {
@@ -122,7 +122,7 @@
 const idleLook = time.Minute
 
 // next is the record that is due first, and how long until then.
-func (k *Keeper) next() (first Fingerprint, w write, wait time.Duration) {
+func (k *Persister) next() (first Fingerprint, w write, wait time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	wait = idleLook
@@ -135,7 +135,7 @@
 }
 
 // pause waits for a time or until something new is due.
-func (k *Keeper) pause(ctx context.Context, d time.Duration) {
+func (k *Persister) pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -147,7 +147,7 @@
 
 // written notes that a record stands in the store. It is false of one that was written before the store came back from an
 // older copy, which need not hold it.
-func (k *Keeper) written(f Fingerprint, w write, at id.Position) bool {
+func (k *Persister) written(f Fingerprint, w write, at id.Position) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if at.Era() < k.all.Era() {
@@ -164,7 +164,7 @@
 const mostLifted = 1024
 
 // mark notes whether the store has a record of a request; the caller holds the lock.
-func (k *Keeper) mark(f Fingerprint, stored bool) {
+func (k *Persister) mark(f Fingerprint, stored bool) {
 	if stored {
 		k.stored[f] = true
 		delete(k.lifted, f)
@@ -177,7 +177,7 @@
 }
 
 // later puts off a record that could not be written.
-func (k *Keeper) later(f Fingerprint, w write) {
+func (k *Persister) later(f Fingerprint, w write) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if o, ok := k.due[f]; ok && o.at.Equal(w.at) {
@@ -191,7 +191,7 @@
 }
 
 // follow brings all records into the list, and then each new one.
-func (k *Keeper) follow(ctx context.Context) {
+func (k *Persister) follow(ctx context.Context) {
 	next, started := id.Position(0), false
 	for ctx.Err() == nil {
 		var err error
@@ -215,7 +215,7 @@
 
 // readAll takes the newest record of each key, and lets requests through whose record has gone. Where the store has come
 // back from an older copy since the last time, its records are what they were before instead.
-func (k *Keeper) readAll(ctx context.Context) (next id.Position, err error) {
+func (k *Persister) readAll(ctx context.Context) (next id.Position, err error) {
 	l, next, err := k.store.Newest(ctx, k.topic, func(int) {})
 	if err != nil {
 		return 0, err
@@ -244,7 +244,7 @@
 }
 
 // enter notes how far a whole reading has come, and says whether it is of a later era than the one before.
-func (k *Keeper) enter(next id.Position) (returned bool, err error) {
+func (k *Persister) enter(next id.Position) (returned bool, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	err = records.SameEra(next, k.all)
@@ -256,7 +256,7 @@
 }
 
 // dropAgain says whether the request of a record has been lifted before the store came back, and has the record dropped.
-func (k *Keeper) dropAgain(key string) bool {
+func (k *Persister) dropAgain(key string) bool {
 	f, err := Parse(key)
 	if err != nil {
 		return false
@@ -272,20 +272,20 @@
 
 // writeAgain has the records written that the store lacks. All gateways do so, each after a time by chance; the first
 // one's records keep the others from it.
-func (k *Keeper) writeAgain(there map[Fingerprint]bool) {
-	for _, h := range k.list.Holds() {
+func (k *Persister) writeAgain(there map[Fingerprint]bool) {
+	for _, h := range k.list.HeldRequests() {
 		if there[h.Fingerprint] {
 			continue
 		}
 		k.mu.Lock()
 		delete(k.stored, h.Fingerprint)
 		k.mu.Unlock()
-		k.Keep(h)
+		k.Persist(h)
 	}
 }
 
 // gone forgets and lists the requests whose records stood in the store and do not any more.
-func (k *Keeper) gone(there map[Fingerprint]bool) (l []Fingerprint) {
+func (k *Persister) gone(there map[Fingerprint]bool) (l []Fingerprint) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for f := range k.stored {
@@ -298,7 +298,7 @@
 }
 
 // read takes the records from an offset on.
-func (k *Keeper) read(ctx context.Context, from id.Position) (next id.Position, err error) {
+func (k *Persister) read(ctx context.Context, from id.Position) (next id.Position, err error) {
 	a, err := k.store.Read(ctx, k.topic, from, followWait)
 	if err == nil {
 		err = records.SameEra(a.Next, from)
@@ -313,7 +313,7 @@
 }
 
 // take brings one record into the list, and says whether it is of a held request.
-func (k *Keeper) take(r records.Record) (f Fingerprint, ok bool) {
+func (k *Persister) take(r records.Record) (f Fingerprint, ok bool) {
 	f, err := Parse(r.Key)
 	if err != nil {
 		k.skip(r, err)
@@ -330,12 +330,12 @@
 		return f, false
 	}
 	k.note(f, true)
-	k.list.Take(h)
+	k.list.AddHeld(h)
 	return f, true
 }
 
 // note keeps what the store has of a request; one that another process has written need not be written here.
-func (k *Keeper) note(f Fingerprint, stored bool) {
+func (k *Persister) note(f Fingerprint, stored bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	w, due := k.due[f]
@@ -346,32 +346,32 @@
 }
 
 // skip tells of a record that can't be read: others may write to the topic.
-func (k *Keeper) skip(r records.Record, err error) {
+func (k *Persister) skip(r records.Record, err error) {
 	k.list.vars.Add("records_skipped", 1)
 	k.log.Warn().Err(err).Str("key", r.Key).Uint64("offset", r.At.Offset()).Uint64("era", r.At.Era()).Msg("record of a held request skipped")
 }
 
 // tell encodes a held request as its record.
-func (h *Hold) tell() *pb.HeldRequest {
-	m := &pb.HeldRequest{Organisation: string(h.Organisation), By: string(h.By), SinceUnixMs: h.SinceUnixMs}
-	for _, s := range h.Starts {
+func (h *HeldRequest) tell() *pb.HeldRequest {
+	m := &pb.HeldRequest{Organisation: string(h.Organisation), By: string(h.HeldBy), SinceUnixMs: h.SinceUnixMs}
+	for _, s := range h.Incarnations {
 		m.Starts = append(m.Starts, s.tell())
 	}
 	return m
 }
 
-func decodeHold(f Fingerprint, value []byte) (Hold, error) {
+func decodeHold(f Fingerprint, value []byte) (HeldRequest, error) {
 	var m pb.HeldRequest
 	if err := proto.Unmarshal(value, &m); err != nil {
-		return Hold{}, trace.Wrap(err)
+		return HeldRequest{}, trace.Wrap(err)
 	}
 	return holdFrom(f, &m), nil
 }
 
-func holdFrom(f Fingerprint, m *pb.HeldRequest) Hold {
-	h := Hold{Fingerprint: f, Organisation: id.Organisation(m.GetOrganisation()), By: id.VM(m.GetBy()), SinceUnixMs: m.GetSinceUnixMs()}
+func holdFrom(f Fingerprint, m *pb.HeldRequest) HeldRequest {
+	h := HeldRequest{Fingerprint: f, Organisation: id.Organisation(m.GetOrganisation()), HeldBy: id.VM(m.GetBy()), SinceUnixMs: m.GetSinceUnixMs()}
 	for _, s := range m.GetStarts() {
-		h.Starts = append(h.Starts, startOf(s))
+		h.Incarnations = append(h.Incarnations, startOf(s))
 	}
 	return h
 }
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -141,11 +141,11 @@
 var _ = Describe("held requests in the platform's store", func() {
 	bad := request("bad")
 	// keep runs a gateway's list and keeper.
-	keep := func(s *shelf) (*List, *Keeper, func()) {
-		l := NewList("vm", time.Now, quiet)
-		k := NewKeeper(s.store(), "t", l, time.Now, quiet)
-		l.OnHeld = append(l.OnHeld, k.Keep)
-		l.OnServed = k.Drop
+	keep := func(s *shelf) (*SuspectTracker, *Persister, func()) {
+		l := NewSuspectTracker("vm", time.Now, quiet)
+		k := NewPersister(s.store(), "t", l, time.Now, quiet)
+		l.OnHeld = append(l.OnHeld, k.Persist)
+		l.OnServed = k.Remove
 		ctx, stop := context.WithCancel(context.Background())
 		ended := make(chan struct{})
 		go func() {
@@ -159,12 +159,12 @@
 		DeferCleanup(end)
 		return l, k, end
 	}
-	crash := func(l *List) {
+	crash := func(l *SuspectTracker) {
 		for n := range 3 {
-			l.Hear(endOf(n, "bad"))
+			l.RecordCrash(endOf(n, "bad"))
 		}
 	}
-	held := func(l *List) func() bool { return func() bool { return l.Check(bad) == Held } }
+	held := func(l *SuspectTracker) func() bool { return func() bool { return l.Check(bad) == Held } }
 
 	It("outlast all gateways, and reach those that have seen none of the ends", func() {
 		s := newShelf()
@@ -172,8 +172,8 @@
 		far, _, _ := keep(s)
 		crash(l)
 		Eventually(held(far)).WithTimeout(3 * time.Second).Should(BeTrue())
-		Expect(far.Holds()[0].Starts).To(HaveLen(3))
-		Expect(far.Holds()[0].By).To(BeEquivalentTo("vm"))
+		Expect(far.HeldRequests()[0].Incarnations).To(HaveLen(3))
+		Expect(far.HeldRequests()[0].HeldBy).To(BeEquivalentTo("vm"))
 		end()
 		later, _, _ := keep(s)
 		Eventually(held(later)).Should(BeTrue())
@@ -212,14 +212,14 @@
 		Eventually(held(far)).WithTimeout(3 * time.Second).Should(BeTrue())
 		s.set(func() { s.gone = true })
 		l.Lift(bad)
-		k.Drop(bad)
+		k.Remove(bad)
 		Eventually(held(far)).WithTimeout(3 * (retryAfter + retryAfter)).Should(BeFalse())
 	})
 
 	It("are written again by few, once the store has come back from an older copy that lacks them", func() {
 		s := newShelf()
 		l, _, _ := keep(s)
-		var others []*List
+		var others []*SuspectTracker
 		for range 6 {
 			o, _, _ := keep(s)
 			others = append(others, o)
@@ -248,7 +248,7 @@
 		time.Sleep(writeWithin)
 		n := s.count()
 		l.Lift(bad)
-		k.Drop(bad)
+		k.Remove(bad)
 		Eventually(held(far)).WithTimeout(3 * time.Second).Should(BeFalse())
 		s.copyOf(n)
 		Expect(s.has(bad.String())).To(BeTrue())
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -31,7 +31,7 @@
 
 // end is the end of a start with all requests that were there.
 type end struct {
-	start Start
+	start Incarnation
 	at    time.Time
 	of    map[Fingerprint]id.Organisation
 	// explained is true once one of its requests is held: it says nothing of the others any more. Nor does it of those
@@ -45,7 +45,7 @@
 	organisation id.Organisation
 	ends         map[*end]struct{}
 	// tries are the callers' tries of it that were at these ends, and tried is true once one of them was sent on alone.
-	tries map[Try]struct{}
+	tries map[CallerAttempt]struct{}
 	tried bool
 }
 
@@ -57,10 +57,10 @@
 	return len(s.ends) >= enough && len(s.tries) >= enough && s.tried
 }
 
-// List decides by what gateways see. All gateways that hear the same come to the same, in whichever order it comes:
+// SuspectTracker decides by what gateways see. All gateways that hear the same come to the same, in whichever order it comes:
 // what counts of an end is which requests were there, and a request is held once it was at enough ends that no other
 // held request explains. It is safe for concurrent use.
-type List struct {
+type SuspectTracker struct {
 	vm  id.VM
 	now func() time.Time
 	// after calls a function after a time.
@@ -69,7 +69,7 @@
 	vars  *expvar.Map
 	// OnHeld are told of each request that is held from now on, and OnServed of one that is no longer suspected as it
 	// has been served here. They are called without the lock, and set before anything else is called.
-	OnHeld   []func(h Hold)
+	OnHeld   []func(h HeldRequest)
 	OnServed func(f Fingerprint)
 
 	// watching is false while nothing is suspected and nothing held.
@@ -84,19 +84,19 @@
 	settling bool
 }
 
-// NewList makes an empty list for the gateway on a VM.
-func NewList(vm id.VM, now func() time.Time, l *log.Logger) *List {
-	g := &List{
+// NewSuspectTracker makes an empty list for the gateway on a VM.
+func NewSuspectTracker(vm id.VM, now func() time.Time, l *log.Logger) *SuspectTracker {
+	g := &SuspectTracker{
 		vm: vm, now: now, log: l, vars: new(expvar.Map), OnServed: func(Fingerprint) {},
 		after:   func(d time.Duration, f func()) { time.AfterFunc(d, f) },
 		byStart: map[id.Instance][]*end{}, suspects: map[Fingerprint]*suspect{}, held: newHeld(), served: newServed(now),
 	}
-	g.vars.Set("held", expvar.Func(func() any { return len(g.Holds()) }))
+	g.vars.Set("held", expvar.Func(func() any { return len(g.HeldRequests()) }))
 	return g
 }
 
 // Check says what may be done with a request. It takes no lock while nothing is suspected.
-func (l *List) Check(f Fingerprint) Verdict {
+func (l *SuspectTracker) Check(f Fingerprint) Verdict {
 	if !l.watching.Load() {
 		return Pass
 	}
@@ -117,12 +117,12 @@
 	}
 }
 
-// Hear takes an end that this or another gateway has seen.
-func (l *List) Hear(e End) {
+// RecordCrash takes an end that this or another gateway has seen.
+func (l *SuspectTracker) RecordCrash(e Crash) {
 	l.mu.Lock()
-	n := l.find(e.Start)
+	n := l.find(e.Incarnation)
 	if n == nil {
-		n = l.add(e.Start)
+		n = l.add(e.Incarnation)
 	}
 	var acquitted []Fingerprint
 	for _, p := range e.Requests {
@@ -149,7 +149,7 @@
 }
 
 // find returns the end of a start if it has been heard of; the caller holds the lock.
-func (l *List) find(s Start) *end {
+func (l *SuspectTracker) find(s Incarnation) *end {
 	for _, e := range l.byStart[s.Instance] {
 		known := e.start.Born == s.Born
 		oneUnknown := (e.start.Born == 0 || s.Born == 0) && l.now().Sub(e.at) < sameEnd
@@ -161,7 +161,7 @@
 }
 
 // add notes a new end, in place of the oldest one where there are too many; the caller holds the lock.
-func (l *List) add(s Start) *end {
+func (l *SuspectTracker) add(s Incarnation) *end {
 	if len(l.ends) >= mostEnds {
 		l.forget(l.ends[0])
 	}
@@ -175,7 +175,7 @@
 }
 
 // forget drops an end; the caller holds the lock.
-func (l *List) forget(e *end) {
+func (l *SuspectTracker) forget(e *end) {
 	l.explain(e)
 	l.ends = slices.DeleteFunc(l.ends, func(o *end) bool { return o == e })
 	rest := slices.DeleteFunc(l.byStart[e.start.Instance], func(o *end) bool { return o == e })
@@ -187,7 +187,7 @@
 }
 
 // explain makes an end count for no suspect any more; the caller holds the lock.
-func (l *List) explain(e *end) {
+func (l *SuspectTracker) explain(e *end) {
 	if e.explained {
 		return
 	}
@@ -204,14 +204,14 @@
 
 // accuse counts an end for a request that was there, and says whether the request is acquitted instead: it has been
 // served here lately. The caller holds the lock.
-func (l *List) accuse(p Presence, e *end) (acquitted bool) {
+func (l *SuspectTracker) accuse(p InFlightRequest, e *end) (acquitted bool) {
 	s := l.suspects[p.Fingerprint]
 	if s == nil {
-		s = &suspect{organisation: p.Organisation, ends: map[*end]struct{}{}, tries: map[Try]struct{}{}}
+		s = &suspect{organisation: p.Organisation, ends: map[*end]struct{}{}, tries: map[CallerAttempt]struct{}{}}
 		l.suspects[p.Fingerprint] = s
 	}
 	_, known := s.ends[e]
-	s.ends[e], s.tries[p.Try] = struct{}{}, struct{}{}
+	s.ends[e], s.tries[p.Attempt] = struct{}{}, struct{}{}
 	s.tried = s.tried || p.Alone
 	if len(s.ends) < enough-1 {
 		return false
@@ -234,7 +234,7 @@
 }
 
 // clear acquits a suspect of all its ends; the caller holds the lock.
-func (l *List) clear(f Fingerprint, s *suspect) {
+func (l *SuspectTracker) clear(f Fingerprint, s *suspect) {
 	delete(l.suspects, f)
 	for e := range s.ends {
 		e.acquitted[f] = struct{}{}
@@ -242,7 +242,7 @@
 }
 
 // Served notes that a request has been answered whole: no upstream crashes under it.
-func (l *List) Served(f Fingerprint) {
+func (l *SuspectTracker) Served(f Fingerprint) {
 	l.mu.Lock()
 	l.served.add(f)
 	tell := l.acquit(f)
@@ -252,8 +252,8 @@
 	}
 }
 
-// Acquit takes another gateway's word that a request has been served.
-func (l *List) Acquit(f Fingerprint) {
+// ClearSuspicion takes another gateway's word that a request has been served.
+func (l *SuspectTracker) ClearSuspicion(f Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.acquit(f)
@@ -261,14 +261,14 @@
 
 // acquit drops what speaks against a request, also one that is held: it was on its way when it was, and has shown that
 // upstreams bear it. It says whether others suspect it too, by what is known here. The caller holds the lock.
-func (l *List) acquit(f Fingerprint) bool {
+func (l *SuspectTracker) acquit(f Fingerprint) bool {
 	ends := 0
 	if s := l.suspects[f]; s != nil {
 		ends = len(s.ends)
 		l.clear(f, s)
 	}
 	if h := l.held.drop(f); h != nil {
-		ends = len(h.Starts)
+		ends = len(h.Incarnations)
 	}
 	if ends == 0 {
 		return false
@@ -284,10 +284,10 @@
 
 // settle holds the requests that explain most ends, one after the other, until none is left that enough ends speak against. Those
 // that were at the same ends as often can't be told apart and are held together.
-func (l *List) settle() {
+func (l *SuspectTracker) settle() {
 	l.mu.Lock()
 	l.settling = false
-	var fresh []Hold
+	var fresh []HeldRequest
 	for next := l.heaviest(); len(next) > 0; next = l.heaviest() {
 		for _, h := range next {
 			l.hold(h)
@@ -300,7 +300,7 @@
 }
 
 // heaviest lists the requests that most ends speak against, of those against which enough is proven; the caller holds the lock.
-func (l *List) heaviest() (heaviest []Hold) {
+func (l *SuspectTracker) heaviest() (heaviest []HeldRequest) {
 	most := enough
 	for f, s := range l.suspects {
 		if len(s.ends) < most || !s.proven() {
@@ -311,21 +311,21 @@
 		}
 		heaviest = append(heaviest, l.holdOf(f, s))
 	}
-	slices.SortFunc(heaviest, func(a, b Hold) int { return slices.Compare(a.Fingerprint[:], b.Fingerprint[:]) })
+	slices.SortFunc(heaviest, func(a, b HeldRequest) int { return slices.Compare(a.Fingerprint[:], b.Fingerprint[:]) })
 	return heaviest
 }
 
-func (l *List) holdOf(f Fingerprint, s *suspect) Hold {
-	e := Hold{Fingerprint: f, Organisation: s.organisation, By: l.vm, SinceUnixMs: l.now().UnixMilli()}
+func (l *SuspectTracker) holdOf(f Fingerprint, s *suspect) HeldRequest {
+	e := HeldRequest{Fingerprint: f, Organisation: s.organisation, HeldBy: l.vm, SinceUnixMs: l.now().UnixMilli()}
 	for n := range s.ends {
-		e.Starts = append(e.Starts, n.start)
+		e.Incarnations = append(e.Incarnations, n.start)
 	}
-	slices.SortFunc(e.Starts, func(a, b Start) int { return slices.Compare([]byte(a.Instance), []byte(b.Instance)) })
+	slices.SortFunc(e.Incarnations, func(a, b Incarnation) int { return slices.Compare([]byte(a.Instance), []byte(b.Instance)) })
 	return e
 }
 
 // hold keeps an entry and explains the ends at which its request was; the caller holds the lock.
-func (l *List) hold(e Hold) {
+func (l *SuspectTracker) hold(e HeldRequest) {
 	if dropped := l.held.put(e); dropped != nil {
 		l.vars.Add("dropped", 1)
 		l.log.Warn().Stringer("fingerprint", dropped.Fingerprint).Str("organisation", string(dropped.Organisation)).
@@ -338,16 +338,16 @@
 	}
 	delete(l.suspects, e.Fingerprint)
 	l.vars.Add("held_in_all", 1)
-	c := l.log.Warn().Stringer("fingerprint", e.Fingerprint).Str("organisation", string(e.Organisation)).Str("by", string(e.By))
+	c := l.log.Warn().Stringer("fingerprint", e.Fingerprint).Str("organisation", string(e.Organisation)).Str("by", string(e.HeldBy))
 	var starts []string
-	for _, s := range e.Starts {
+	for _, s := range e.Incarnations {
 		starts = append(starts, string(s.Instance)+" at "+s.Address)
 	}
 	c.Strs("ended", starts).Msg("a request is held: upstreams have crashed under it")
 }
 
-// Take holds a request that is held elsewhere.
-func (l *List) Take(e Hold) {
+// AddHeld holds a request that is held elsewhere.
+func (l *SuspectTracker) AddHeld(e HeldRequest) {
 	l.mu.Lock()
 	known := l.held.get(e.Fingerprint) != nil
 	if !known {
@@ -356,12 +356,12 @@
 	l.watch()
 	l.mu.Unlock()
 	if !known {
-		l.tell([]Hold{e})
+		l.tell([]HeldRequest{e})
 	}
 }
 
 // tell tells of requests that are held from now on.
-func (l *List) tell(fresh []Hold) {
+func (l *SuspectTracker) tell(fresh []HeldRequest) {
 	for _, h := range fresh {
 		for _, f := range l.OnHeld {
 			f(h)
@@ -370,7 +370,7 @@
 }
 
 // Lift lets a held request through again, as if no upstream had ended under it; it says whether it was held.
-func (l *List) Lift(f Fingerprint) bool {
+func (l *SuspectTracker) Lift(f Fingerprint) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.held.drop(f)
@@ -383,14 +383,14 @@
 	return true
 }
 
-// Holds lists the held requests, the oldest first.
-func (l *List) Holds() []Hold {
+// HeldRequests lists the held requests, the oldest first.
+func (l *SuspectTracker) HeldRequests() []HeldRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.held.list()
 }
 
 // watch notes whether anything is suspected or held; the caller holds the lock.
-func (l *List) watch() {
+func (l *SuspectTracker) watch() {
 	l.watching.Store(len(l.suspects) > 0 || l.held.size() > 0)
 }
--- a/internal/quarantine/list_test.go
+++ b/internal/quarantine/list_test.go
@@ -16,7 +16,7 @@
 
 // desk is a list whose clock and pauses a spec plays.
 type desk struct {
-	*List
+	*SuspectTracker
 	at     time.Time
 	paused []func()
 	// served are the requests that the list told others of.
@@ -25,7 +25,7 @@
 
 func newDesk() *desk {
 	d := &desk{at: time.Unix(1000, 0)}
-	d.List = NewList("vm", func() time.Time { return d.at }, quiet)
+	d.SuspectTracker = NewSuspectTracker("vm", func() time.Time { return d.at }, quiet)
 	d.after = func(_ time.Duration, f func()) { d.paused = append(d.paused, f) }
 	d.OnServed = func(f Fingerprint) { d.served = append(d.served, f) }
 	return d
@@ -46,10 +46,10 @@
 }
 
 // endOf is an end of an instance with requests, each in a try of its own that was sent on alone.
-func endOf(instance int, names ...string) End {
-	e := End{Start: Start{Instance: id.Instance(fmt.Sprint("i", instance)), Address: "a"}}
+func endOf(instance int, names ...string) Crash {
+	e := Crash{Incarnation: Incarnation{Instance: id.Instance(fmt.Sprint("i", instance)), Address: "a"}}
 	for _, n := range names {
-		e.Requests = append(e.Requests, Presence{Fingerprint: request(n), Organisation: "gym", Try: Try(instance), Alone: true})
+		e.Requests = append(e.Requests, InFlightRequest{Fingerprint: request(n), Organisation: "gym", Attempt: CallerAttempt(instance), Alone: true})
 	}
 	return e
 }
@@ -59,13 +59,13 @@
 		d := newDesk()
 		verdicts := []Verdict{Pass, Alone, Waits}
 		for n, v := range verdicts {
-			d.Hear(endOf(n, "bad", fmt.Sprint("other", n)))
+			d.RecordCrash(endOf(n, "bad", fmt.Sprint("other", n)))
 			Expect(d.Check(request("bad"))).To(Equal(v))
 		}
 		d.settled()
 		Expect(d.Check(request("bad"))).To(Equal(Held))
-		Expect(d.Holds()).To(HaveLen(1))
-		Expect(d.Holds()[0].Starts).To(HaveLen(3))
+		Expect(d.HeldRequests()).To(HaveLen(1))
+		Expect(d.HeldRequests()[0].Incarnations).To(HaveLen(3))
 		for n := range verdicts {
 			Expect(d.Check(request(fmt.Sprint("other", n)))).To(Equal(Pass))
 		}
@@ -74,7 +74,7 @@
 	It("counts ends that lie an hour apart", func() {
 		d := newDesk()
 		for n := range 3 {
-			d.Hear(endOf(n, "bad"))
+			d.RecordCrash(endOf(n, "bad"))
 			d.at = d.at.Add(time.Hour)
 		}
 		d.settled()
@@ -84,8 +84,8 @@
 	It("is held for three different starts only, however often and by whomever one is told", func() {
 		d := newDesk()
 		for range 3 {
-			d.Hear(endOf(1, "bad"))
-			d.Hear(endOf(2, "bad", "other"))
+			d.RecordCrash(endOf(1, "bad"))
+			d.RecordCrash(endOf(2, "bad", "other"))
 		}
 		d.settled()
 		Expect(d.Check(request("bad"))).To(Equal(Alone))
@@ -94,14 +94,14 @@
 	It("counts an end once that two gateways tell which know different things of its birth, and each start of one ID", func() {
 		d := newDesk()
 		e := endOf(1, "bad")
-		d.Hear(e)
-		e.Start.Born = 10
-		d.Hear(e)
-		d.Hear(endOf(2, "bad"))
+		d.RecordCrash(e)
+		e.Incarnation.Born = 10
+		d.RecordCrash(e)
+		d.RecordCrash(endOf(2, "bad"))
 		Expect(d.Check(request("bad"))).To(Equal(Alone))
 		d.at = d.at.Add(time.Minute)
-		e.Start.Born, e.Requests[0].Try = 20, 20
-		d.Hear(e)
+		e.Incarnation.Born, e.Requests[0].Attempt = 20, 20
+		d.RecordCrash(e)
 		Expect(d.Check(request("bad"))).To(Equal(Waits))
 	})
 
@@ -112,20 +112,20 @@
 			if n < 3 {
 				names = append(names, "beside")
 			}
-			d.Hear(endOf(n, names...))
+			d.RecordCrash(endOf(n, names...))
 		}
 		d.settled()
 		Expect(d.Check(request("bad"))).To(Equal(Held))
 		Expect(d.Check(request("beside"))).To(Equal(Pass))
-		d.Hear(endOf(5, "bad", "beside"))
-		d.Hear(endOf(6, "beside"))
+		d.RecordCrash(endOf(5, "bad", "beside"))
+		d.RecordCrash(endOf(6, "beside"))
 		Expect(d.Check(request("beside"))).To(Equal(Pass), "one end speaks against it, as the held one explains the others")
 	})
 
 	It("is held with those that can't be told from it", func() {
 		d := newDesk()
 		for n := range 3 {
-			d.Hear(endOf(n, "bad", "same"))
+			d.RecordCrash(endOf(n, "bad", "same"))
 		}
 		d.settled()
 		Expect(d.Check(request("bad"))).To(Equal(Held))
@@ -136,16 +136,16 @@
 		d := newDesk()
 		for n := range 4 {
 			few, crowd := endOf(n, "few"), endOf(n, "crowd")
-			few.Requests[0].Try = Try(n / 2)
+			few.Requests[0].Attempt = CallerAttempt(n / 2)
 			crowd.Requests[0].Alone = false
-			d.Hear(few)
-			d.Hear(crowd)
+			d.RecordCrash(few)
+			d.RecordCrash(crowd)
 		}
 		d.settled()
 		Expect(d.Check(request("few"))).To(Equal(Alone))
 		Expect(d.Check(request("crowd"))).To(Equal(Alone))
-		d.Hear(endOf(5, "few"))
-		d.Hear(endOf(6, "crowd"))
+		d.RecordCrash(endOf(5, "few"))
+		d.RecordCrash(endOf(6, "crowd"))
 		d.settled()
 		Expect(d.Check(request("few"))).To(Equal(Held))
 		Expect(d.Check(request("crowd"))).To(Equal(Held))
@@ -154,12 +154,12 @@
 	It("is told apart by what comes while it waits", func() {
 		d := newDesk()
 		for n := range 3 {
-			d.Hear(endOf(n, "beside"))
+			d.RecordCrash(endOf(n, "beside"))
 		}
-		d.Hear(endOf(0, "bad"))
-		d.Hear(endOf(1, "bad"))
-		d.Hear(endOf(2, "bad"))
-		d.Hear(endOf(3, "bad"))
+		d.RecordCrash(endOf(0, "bad"))
+		d.RecordCrash(endOf(1, "bad"))
+		d.RecordCrash(endOf(2, "bad"))
+		d.RecordCrash(endOf(3, "bad"))
 		d.settled()
 		Expect(d.Check(request("bad"))).To(Equal(Held))
 		Expect(d.Check(request("beside"))).To(Equal(Pass))
@@ -167,14 +167,14 @@
 
 	It("is no suspect any more once it has been served, here or elsewhere, and others hear of it", func() {
 		d := newDesk()
-		d.Hear(endOf(1, "hot"))
-		d.Hear(endOf(2, "hot"))
+		d.RecordCrash(endOf(1, "hot"))
+		d.RecordCrash(endOf(2, "hot"))
 		d.Served(request("hot"))
 		Expect(d.Check(request("hot"))).To(Equal(Pass))
 		Expect(d.served).To(Equal([]Fingerprint{request("hot")}))
-		d.Hear(endOf(3, "far"))
-		d.Hear(endOf(4, "far"))
-		d.Acquit(request("far"))
+		d.RecordCrash(endOf(3, "far"))
+		d.RecordCrash(endOf(4, "far"))
+		d.ClearSuspicion(request("far"))
 		Expect(d.Check(request("far"))).To(Equal(Pass))
 		Expect(d.served).To(HaveLen(1), "what was heard is not told again")
 	})
@@ -182,11 +182,11 @@
 	It("that has been served is not suspected anew by who tells of the same ends again", func() {
 		d := newDesk()
 		for range 3 {
-			d.Hear(endOf(1, "proper"))
-			d.Hear(endOf(2, "proper"))
-			d.Acquit(request("proper"))
+			d.RecordCrash(endOf(1, "proper"))
+			d.RecordCrash(endOf(2, "proper"))
+			d.ClearSuspicion(request("proper"))
 		}
-		d.Hear(endOf(3, "proper"))
+		d.RecordCrash(endOf(3, "proper"))
 		Expect(d.Check(request("proper"))).To(Equal(Pass))
 		Expect(d.suspects[request("proper")].ends).To(HaveLen(1))
 	})
@@ -195,19 +195,19 @@
 		d := newDesk()
 		d.Served(request("hot"))
 		for n := range 4 {
-			d.Hear(endOf(n, "hot"))
+			d.RecordCrash(endOf(n, "hot"))
 			Expect(d.Check(request("hot"))).To(Equal(Pass))
 		}
 		Expect(d.served).NotTo(BeEmpty(), "gateways that did not serve it hear of it")
 		d.at = d.at.Add(servedLife)
-		d.Hear(endOf(6, "hot"))
-		d.Hear(endOf(7, "hot"))
+		d.RecordCrash(endOf(6, "hot"))
+		d.RecordCrash(endOf(7, "hot"))
 		Expect(d.Check(request("hot"))).To(Equal(Alone))
 	})
 
 	It("that was on its way when it was held, and is served, is held no longer", func() {
 		d := newDesk()
-		d.Take(Hold{Fingerprint: request("proper"), Starts: make([]Start, 3)})
+		d.AddHeld(HeldRequest{Fingerprint: request("proper"), Incarnations: make([]Incarnation, 3)})
 		Expect(d.Check(request("proper"))).To(Equal(Held))
 		d.Served(request("proper"))
 		Expect(d.Check(request("proper"))).To(Equal(Pass))
@@ -216,26 +216,26 @@
 
 	It("that an operator lifts begins anew", func() {
 		d := newDesk()
-		d.Take(Hold{Fingerprint: request("bad")})
+		d.AddHeld(HeldRequest{Fingerprint: request("bad")})
 		Expect(d.Lift(request("bad"))).To(BeTrue())
 		Expect(d.Lift(request("bad"))).To(BeFalse())
 		Expect(d.Check(request("bad"))).To(Equal(Pass))
-		d.Hear(endOf(1, "bad"))
-		d.Hear(endOf(2, "bad"))
+		d.RecordCrash(endOf(1, "bad"))
+		d.RecordCrash(endOf(2, "bad"))
 		Expect(d.Check(request("bad"))).To(Equal(Alone))
 	})
 
 	It("stays held whatever another organisation does", func() {
 		d := newDesk()
-		d.Take(Hold{Fingerprint: request("bad"), Organisation: "gym", SinceUnixMs: 1})
+		d.AddHeld(HeldRequest{Fingerprint: request("bad"), Organisation: "gym", SinceUnixMs: 1})
 		for n := range mostOfOne + 5 {
-			d.Take(Hold{Fingerprint: request(fmt.Sprint("flood", n)), Organisation: "huts", SinceUnixMs: int64(2 + n)})
+			d.AddHeld(HeldRequest{Fingerprint: request(fmt.Sprint("flood", n)), Organisation: "huts", SinceUnixMs: int64(2 + n)})
 		}
 		Expect(d.Check(request("bad"))).To(Equal(Held))
-		Expect(d.Holds()).To(HaveLen(mostOfOne + 1))
+		Expect(d.HeldRequests()).To(HaveLen(mostOfOne + 1))
 		Expect(d.Check(request("flood0"))).To(Equal(Pass), "its own oldest are let go")
 		for n := range mostEnds + 5 {
-			d.Hear(endOf(n, fmt.Sprint("crowd", n)))
+			d.RecordCrash(endOf(n, fmt.Sprint("crowd", n)))
 		}
 		Expect(d.Check(request("bad"))).To(Equal(Held))
 		Expect(d.ends).To(HaveLen(mostEnds))
@@ -249,7 +249,7 @@
 			if n < mostOfOne {
 				o = "large"
 			}
-			h.put(Hold{Fingerprint: request(fmt.Sprint(n)), Organisation: o})
+			h.put(HeldRequest{Fingerprint: request(fmt.Sprint(n)), Organisation: o})
 		}
 		Expect(h.size()).To(Equal(mostHeld))
 		Expect(h.order["large"]).To(HaveLen(mostOfOne - 3))
@@ -258,7 +258,7 @@
 	It("costs nothing to be told of while nothing is suspected", func() {
 		d := newDesk()
 		Expect(d.watching.Load()).To(BeFalse())
-		d.Hear(endOf(1, "a"))
+		d.RecordCrash(endOf(1, "a"))
 		Expect(d.watching.Load()).To(BeTrue())
 		d.Served(request("a"))
 		Expect(d.watching.Load()).To(BeFalse())
@@ -269,26 +269,26 @@
 	It("reaches others in messages that fit into a packet, whole", func() {
 		e := endOf(1)
 		for n := range 2*mostTold + 3 {
-			e.Requests = append(e.Requests, Presence{Fingerprint: request(fmt.Sprint(n)), Organisation: "gym"})
+			e.Requests = append(e.Requests, InFlightRequest{Fingerprint: request(fmt.Sprint(n)), Organisation: "gym"})
 		}
 		d := newDesk()
-		told := News{Ends: []End{e}}.Tell()
+		told := CrashNews{Crashes: []Crash{e}}.Messages()
 		Expect(told).To(HaveLen(3))
 		for _, m := range told {
-			d.HearNews(m)
+			d.ApplyNews(m)
 		}
 		Expect(d.ends).To(HaveLen(1))
 		Expect(d.ends[0].of).To(HaveLen(2*mostTold + 3))
-		h := Hold{Fingerprint: request("bad"), Organisation: "gym", By: "far", SinceUnixMs: 5, Starts: []Start{{Address: "a", Instance: "i", Born: 3}}}
-		d.HearNews(News{Held: []Hold{h}}.Tell()[0])
-		Expect(d.Holds()).To(Equal([]Hold{h}))
-		d.HearNews(News{Served: []Fingerprint{request("0")}}.Tell()[0])
+		h := HeldRequest{Fingerprint: request("bad"), Organisation: "gym", HeldBy: "far", SinceUnixMs: 5, Incarnations: []Incarnation{{Address: "a", Instance: "i", Born: 3}}}
+		d.ApplyNews(CrashNews{Held: []HeldRequest{h}}.Messages()[0])
+		Expect(d.HeldRequests()).To(Equal([]HeldRequest{h}))
+		d.ApplyNews(CrashNews{Served: []Fingerprint{request("0")}}.Messages()[0])
 		Expect(d.suspects).To(HaveLen(2*mostTold + 2))
 	})
 
 	It("in any order, doubled, late or lost: nothing is held without three starts, and all who share their holds end with the same", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			var told []End
+			var told []Crash
 			for n := range rapid.IntRange(1, 8).Draw(t, "ends") {
 				names := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 1, 4).Draw(t, "present")
 				told = append(told, endOf(n, names...))
@@ -297,39 +297,39 @@
 			for _, g := range gateways {
 				heard := map[Fingerprint]map[id.Instance]bool{}
 				for _, n := range rapid.SliceOfN(rapid.IntRange(0, len(told)-1), 0, 24).Draw(t, "heard") {
-					g.Hear(told[n])
+					g.RecordCrash(told[n])
 					for _, p := range told[n].Requests {
 						if heard[p.Fingerprint] == nil {
 							heard[p.Fingerprint] = map[id.Instance]bool{}
 						}
-						heard[p.Fingerprint][told[n].Start.Instance] = true
+						heard[p.Fingerprint][told[n].Incarnation.Instance] = true
 					}
 					if rapid.Bool().Draw(t, "settles") {
 						g.settled()
 					}
 				}
 				g.settled()
-				for _, h := range g.Holds() {
+				for _, h := range g.HeldRequests() {
 					if len(heard[h.Fingerprint]) < enough {
 						t.Fatalf("held after %d starts", len(heard[h.Fingerprint]))
 					}
 				}
 			}
 			for _, from := range gateways {
-				for _, h := range from.Holds() {
+				for _, h := range from.HeldRequests() {
 					for _, to := range gateways {
-						to.Take(h)
+						to.AddHeld(h)
 					}
 				}
 			}
 			for _, g := range gateways[1:] {
-				for _, h := range g.Holds() {
+				for _, h := range g.HeldRequests() {
 					if gateways[0].Check(h.Fingerprint) != Held {
 						t.Fatalf("held by one and not by all")
 					}
 				}
-				if len(g.Holds()) != len(gateways[0].Holds()) {
-					t.Fatalf("%d and %d held", len(g.Holds()), len(gateways[0].Holds()))
+				if len(g.HeldRequests()) != len(gateways[0].HeldRequests()) {
+					t.Fatalf("%d and %d held", len(g.HeldRequests()), len(gateways[0].HeldRequests()))
 				}
 			}
 		})
--- a/internal/quarantine/news.go
+++ b/internal/quarantine/news.go
@@ -8,13 +8,13 @@
 // mostTold bounds the requests of one message, which take about 40 bytes each, so that it fits into one packet.
 const mostTold = 32
 
-// Tell encodes news, as several messages where one would be too long for a packet.
-func (n News) Tell() (l []*pb.CrashNews) {
-	for _, e := range n.Ends {
+// Messages encodes news, as several messages where one would be too long for a packet.
+func (n CrashNews) Messages() (l []*pb.CrashNews) {
+	for _, e := range n.Crashes {
 		for rest := e.Requests; len(rest) > 0; {
 			part := rest[:min(mostTold, len(rest))]
 			rest = rest[len(part):]
-			l = append(l, &pb.CrashNews{Ends: []*pb.UpstreamEnd{{Start: e.Start.tell(), Requests: tellPresent(part)}}})
+			l = append(l, &pb.CrashNews{Ends: []*pb.UpstreamEnd{{Start: e.Incarnation.tell(), Requests: tellPresent(part)}}})
 		}
 	}
 	if len(n.Served) > 0 {
@@ -30,36 +30,36 @@
 	return l
 }
 
-func tellPresent(of []Presence) (l []*pb.PresentRequest) {
+func tellPresent(of []InFlightRequest) (l []*pb.PresentRequest) {
 	for _, p := range of {
-		l = append(l, &pb.PresentRequest{Fingerprint: p.Fingerprint[:], Organisation: string(p.Organisation), Try: uint32(p.Try), Alone: p.Alone})
+		l = append(l, &pb.PresentRequest{Fingerprint: p.Fingerprint[:], Organisation: string(p.Organisation), Try: uint32(p.Attempt), Alone: p.Alone})
 	}
 	return l
 }
 
-func (s Start) tell() *pb.UpstreamStart {
+func (s Incarnation) tell() *pb.UpstreamStart {
 	return &pb.UpstreamStart{Address: s.Address, Instance: string(s.Instance), Born: uint64(s.Born)}
 }
 
-func startOf(m *pb.UpstreamStart) Start {
-	return Start{Address: m.GetAddress(), Instance: id.Instance(m.GetInstance()), Born: id.Birth(m.GetBorn())}
+func startOf(m *pb.UpstreamStart) Incarnation {
+	return Incarnation{Address: m.GetAddress(), Instance: id.Instance(m.GetInstance()), Born: id.Birth(m.GetBorn())}
 }
 
-// HearNews takes what another gateway tells. What is no fingerprint is counted and left out.
-func (l *List) HearNews(m *pb.CrashNews) {
+// ApplyNews takes what another gateway tells. What is no fingerprint is counted and left out.
+func (l *SuspectTracker) ApplyNews(m *pb.CrashNews) {
 	for _, told := range m.GetEnds() {
-		e := End{Start: startOf(told.GetStart())}
+		e := Crash{Incarnation: startOf(told.GetStart())}
 		for _, p := range told.GetRequests() {
 			f, err := FromBytes(p.GetFingerprint())
 			if err != nil {
 				l.vars.Add("malformed", 1)
 				continue
 			}
-			e.Requests = append(e.Requests, Presence{
-				Fingerprint: f, Organisation: id.Organisation(p.GetOrganisation()), Try: Try(p.GetTry()), Alone: p.GetAlone(),
+			e.Requests = append(e.Requests, InFlightRequest{
+				Fingerprint: f, Organisation: id.Organisation(p.GetOrganisation()), Attempt: CallerAttempt(p.GetTry()), Alone: p.GetAlone(),
 			})
 		}
-		l.Hear(e)
+		l.RecordCrash(e)
 	}
 	for _, b := range m.GetServed() {
 		f, err := FromBytes(b)
@@ -67,7 +67,7 @@
 			l.vars.Add("malformed", 1)
 			continue
 		}
-		l.Acquit(f)
+		l.ClearSuspicion(f)
 	}
 	for _, h := range m.GetHeld() {
 		f, err := FromBytes(h.GetFingerprint())
@@ -75,6 +75,6 @@
 			l.vars.Add("malformed", 1)
 			continue
 		}
-		l.Take(holdFrom(f, h.GetRequest()))
+		l.AddHeld(holdFrom(f, h.GetRequest()))
 	}
 }
--- a/internal/quarantine/part.go
+++ b/internal/quarantine/part.go
@@ -18,9 +18,9 @@
 		Needs: []string{reports.SubscriberPart, records.PlatformPart, rpc.PartName},
 		New: func(h *kernel.Host) (any, error) {
 			p := h.Part(records.PlatformPart).(*records.Platform)
-			q := New(NewList(h.Identity.VM, clock.Now, h.Log), h.Part(reports.SubscriberPart).(*reports.Subscriber), p)
+			q := New(NewSuspectTracker(h.Identity.VM, clock.Now, h.Log), h.Part(reports.SubscriberPart).(*reports.Subscriber), p)
 			h.Part(rpc.PartName).(*rpc.Server).Handle(springrailv1connect.NewQuarantineServiceHandler(q))
-			h.Metric("quarantine", q.List.vars)
+			h.Metric("quarantine", q.Suspects.vars)
 			return q, nil
 		},
 	})
@@ -28,38 +28,38 @@
 
 // Quarantine is a gateway's list, with the ways on which it hears of others' and is kept.
 type Quarantine struct {
-	*Keeper
-	List *List
-	// Tell tells all gateways.
-	Tell func(n News)
+	*Persister
+	Suspects *SuspectTracker
+	// Broadcast tells all gateways.
+	Broadcast func(n CrashNews)
 }
 
 // New connects a list with other gateways, by way of stagers, and with the platform's store.
-func New(l *List, s *reports.Subscriber, p *records.Platform) *Quarantine {
-	q := &Quarantine{List: l, Keeper: NewKeeper(p.Store, p.Held, l, l.now, l.log)}
-	q.Tell = func(n News) {
-		for _, m := range n.Tell() {
+func New(l *SuspectTracker, s *reports.Subscriber, p *records.Platform) *Quarantine {
+	q := &Quarantine{Suspects: l, Persister: NewPersister(p.Store, p.Held, l, l.now, l.log)}
+	q.Broadcast = func(n CrashNews) {
+		for _, m := range n.Messages() {
 			s.BroadcastCrashNews(m)
 		}
 	}
-	s.OnCrashNews = l.HearNews
-	l.OnHeld = append(l.OnHeld, q.Keep, q.tellHeld)
+	s.OnCrashNews = l.ApplyNews
+	l.OnHeld = append(l.OnHeld, q.Persist, q.tellHeld)
 	l.OnServed = func(f Fingerprint) {
-		q.Drop(f)
-		q.Tell(News{Served: []Fingerprint{f}})
+		q.Remove(f)
+		q.Broadcast(CrashNews{Served: []Fingerprint{f}})
 	}
 	return q
 }
 
 // tellHeld tells the others of a request that this gateway has come to hold by itself: one that lacks news of an end has it so.
-func (q *Quarantine) tellHeld(h Hold) {
-	if h.By == q.List.vm {
-		q.Tell(News{Held: []Hold{h}})
+func (q *Quarantine) tellHeld(h HeldRequest) {
+	if h.HeldBy == q.Suspects.vm {
+		q.Broadcast(CrashNews{Held: []HeldRequest{h}})
 	}
 }
 
-// Saw takes an end that this gateway has seen, and tells the others.
-func (q *Quarantine) Saw(e End) {
-	q.List.Hear(e)
-	q.Tell(News{Ends: []End{e}})
+// ReportCrash takes an end that this gateway has seen, and tells the others.
+func (q *Quarantine) ReportCrash(e Crash) {
+	q.Suspects.RecordCrash(e)
+	q.Broadcast(CrashNews{Crashes: []Crash{e}})
 }
--- a/internal/quarantine/play_test.go
+++ b/internal/quarantine/play_test.go
@@ -67,7 +67,7 @@
 	gateway int
 	// tries counts the upstreams of the caller's try, and back is true once the caller has come back.
 	tries       int
-	try         Try
+	try         CallerAttempt
 	alone, back bool
 }
 
@@ -85,7 +85,7 @@
 	now      time.Duration
 	queue    events
 	n        int
-	lists    []*List
+	lists    []*SuspectTracker
 	places   []*place
 	underway []map[string]int
 	// sends and ends of each bad request, by moment.
@@ -98,11 +98,11 @@
 	t := &theatre{mix: m, luck: rand.New(rand.NewPCG(seed, 1)), sends: map[string][]time.Duration{}, ends: map[string][]time.Duration{}}
 	base := time.Unix(1000, 0)
 	for range m.gateways {
-		l := NewList("vm", func() time.Time { return base.Add(t.now) }, quiet)
+		l := NewSuspectTracker("vm", func() time.Time { return base.Add(t.now) }, quiet)
 		l.after = func(d time.Duration, f func()) { t.later(d, f) }
 		l.OnServed = func(f Fingerprint) {
 			for _, o := range t.lists {
-				t.later(playNews, func() { o.Acquit(f) })
+				t.later(playNews, func() { o.ClearSuspicion(f) })
 			}
 		}
 		t.lists = append(t.lists, l)
@@ -166,7 +166,7 @@
 		return
 	}
 	t.n++
-	r.try, r.alone = Try(t.n), v == Alone
+	r.try, r.alone = CallerAttempt(t.n), v == Alone
 	t.underway[r.gateway][r.name]++
 	t.send(r)
 }
@@ -214,14 +214,14 @@
 	if !p.up {
 		return
 	}
-	seen := map[int]*End{}
-	s := Start{Instance: id.Instance(fmt.Sprintf("%p-%d", p, p.start))}
+	seen := map[int]*Crash{}
+	s := Incarnation{Instance: id.Instance(fmt.Sprintf("%p-%d", p, p.start))}
 	for r := range p.runs {
 		if seen[r.gateway] == nil {
-			seen[r.gateway] = &End{Start: s}
+			seen[r.gateway] = &Crash{Incarnation: s}
 		}
-		seen[r.gateway].Requests = append(seen[r.gateway].Requests, Presence{
-			Fingerprint: request(r.name), Organisation: "gym", Try: r.try, Alone: r.alone,
+		seen[r.gateway].Requests = append(seen[r.gateway].Requests, InFlightRequest{
+			Fingerprint: request(r.name), Organisation: "gym", Attempt: r.try, Alone: r.alone,
 		})
 		t.again(r)
 	}
@@ -229,11 +229,11 @@
 	p.start++
 	t.later(playBack, func() { p.up = true })
 	for g, e := range seen {
-		t.later(gatherFor, func() { t.lists[g].Hear(*e) })
+		t.later(gatherFor, func() { t.lists[g].RecordCrash(*e) })
 		for o, l := range t.lists {
 			// Three stagers pass it on.
 			if lost := t.luck.Float64() < playLost*playLost; o != g && t.shared && !lost {
-				t.later(gatherFor+playNews, func() { l.Hear(*e) })
+				t.later(gatherFor+playNews, func() { l.RecordCrash(*e) })
 			}
 		}
 	}
@@ -279,7 +279,7 @@
 func (t *theatre) heldProper() (n int) {
 	held := map[Fingerprint]bool{}
 	for _, l := range t.lists {
-		for _, h := range l.Holds() {
+		for _, h := range l.HeldRequests() {
 			held[h.Fingerprint] = true
 		}
 	}
--- a/internal/quarantine/service.go
+++ b/internal/quarantine/service.go
@@ -16,7 +16,7 @@
 
 // ListHeld implements the quarantine service.
 func (q *Quarantine) ListHeld(context.Context, *pb.ListHeldRequest) (*pb.ListHeldResponse, error) {
-	return &pb.ListHeldResponse{Entries: q.List.tellAll()}, nil
+	return &pb.ListHeldResponse{Entries: q.Suspects.tellAll()}, nil
 }
 
 // LiftHeld implements the quarantine service.
@@ -25,16 +25,16 @@
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
-	if !q.List.Lift(f) {
+	if !q.Suspects.Lift(f) {
 		return nil, connect.NewError(connect.CodeNotFound, ErrNotHeld)
 	}
 	// Others hear of it by the record.
-	q.Drop(f)
+	q.Remove(f)
 	return &pb.LiftHeldResponse{}, nil
 }
 
 // tellAll lists the held requests and then the suspected ones, each the oldest first.
-func (l *List) tellAll() (all []*pb.HeldEntry) {
+func (l *SuspectTracker) tellAll() (all []*pb.HeldEntry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, h := range l.held.list() {
--- a/internal/quarantine/service_test.go
+++ b/internal/quarantine/service_test.go
@@ -17,14 +17,14 @@
 
 	It("see what is held and suspected, under which starts, and how often it was refused", func() {
 		d := newDesk()
-		q := &Quarantine{List: d.List}
+		q := &Quarantine{Suspects: d.SuspectTracker}
 		for n := range 3 {
-			d.Hear(endOf(n, "bad"))
+			d.RecordCrash(endOf(n, "bad"))
 		}
 		d.settled()
-		d.Hear(endOf(7, "suspect"))
-		d.Hear(endOf(8, "suspect"))
-		d.Hear(endOf(9, "once"))
+		d.RecordCrash(endOf(7, "suspect"))
+		d.RecordCrash(endOf(8, "suspect"))
+		d.RecordCrash(endOf(9, "once"))
 		for range 4 {
 			d.Check(bad)
 		}
@@ -44,9 +44,9 @@
 	It("lift a request at all gateways, and are told where there is none", func() {
 		s := newShelf()
 		gateway := func() *Quarantine {
-			l := NewList("vm", time.Now, quiet)
-			q := &Quarantine{List: l, Keeper: NewKeeper(s.store(), "t", l, time.Now, quiet)}
-			l.OnHeld = append(l.OnHeld, q.Keep)
+			l := NewSuspectTracker("vm", time.Now, quiet)
+			q := &Quarantine{Suspects: l, Persister: NewPersister(s.store(), "t", l, time.Now, quiet)}
+			l.OnHeld = append(l.OnHeld, q.Persist)
 			ctx, stop := context.WithCancel(ctx)
 			ended := make(chan struct{})
 			go func() {
@@ -61,9 +61,9 @@
 		}
 		q, far := gateway(), gateway()
 		for n := range 3 {
-			q.List.Hear(endOf(n, "bad"))
+			q.Suspects.RecordCrash(endOf(n, "bad"))
 		}
-		held := func(q *Quarantine) func() bool { return func() bool { return q.List.Check(bad) == Held } }
+		held := func(q *Quarantine) func() bool { return func() bool { return q.Suspects.Check(bad) == Held } }
 		Eventually(held(far)).WithTimeout(3 * time.Second).Should(BeTrue())
 		_, err := far.LiftHeld(ctx, &pb.LiftHeldRequest{Fingerprint: bad.String()})
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/quarantine/witness.go
+++ b/internal/quarantine/witness.go
@@ -24,38 +24,38 @@
 	mostLeft = 256
 )
 
-// Witness gathers the requests that break off together at an upstream, and finds out whether its process has ended: a
+// CrashDetector gathers the requests that break off together at an upstream, and finds out whether its process has ended: a
 // connection may also be reset while the upstream lives, and then nothing speaks against its requests.
-type Witness struct {
+type CrashDetector struct {
 	// ended says whether a start's process has ended, if that is known.
-	ended func(ctx context.Context, s Start) (ended, known bool)
+	ended func(ctx context.Context, s Incarnation) (ended, known bool)
 	// tell is told of each end.
-	tell  func(e End)
+	tell  func(e Crash)
 	now   func() time.Time
 	after func(d time.Duration, f func())
 
 	mu     sync.Mutex
-	broken map[Start][]Presence
+	broken map[Incarnation][]InFlightRequest
 	left   []leaving
 }
 
 // leaving is a request that was given up at an upstream.
 type leaving struct {
-	start Start
-	of    Presence
+	start Incarnation
+	of    InFlightRequest
 	until time.Time
 }
 
-// NewWitness makes a Witness that tells of ends.
-func NewWitness(ended func(ctx context.Context, s Start) (ended, known bool), tell func(e End), now func() time.Time) *Witness {
-	return &Witness{
-		ended: ended, tell: tell, now: now, broken: map[Start][]Presence{},
+// NewCrashDetector makes a Witness that tells of ends.
+func NewCrashDetector(ended func(ctx context.Context, s Incarnation) (ended, known bool), tell func(e Crash), now func() time.Time) *CrashDetector {
+	return &CrashDetector{
+		ended: ended, tell: tell, now: now, broken: map[Incarnation][]InFlightRequest{},
 		after: func(d time.Duration, f func()) { time.AfterFunc(d, f) },
 	}
 }
 
-// Broke notes that an upstream broke a request off.
-func (w *Witness) Broke(s Start, p Presence) {
+// RequestBroken notes that an upstream broke a request off.
+func (w *CrashDetector) RequestBroken(s Incarnation, p InFlightRequest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.broken[s] == nil {
@@ -64,8 +64,8 @@
 	w.broken[s] = append(w.broken[s], p)
 }
 
-// Left notes that a request was given up at an upstream.
-func (w *Witness) Left(s Start, p Presence) {
+// RequestAbandoned notes that a request was given up at an upstream.
+func (w *CrashDetector) RequestAbandoned(s Incarnation, p InFlightRequest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.left) >= mostLeft {
@@ -75,9 +75,9 @@
 }
 
 // conclude tells of the end of a start, if its process has ended.
-func (w *Witness) conclude(s Start) {
+func (w *CrashDetector) conclude(s Incarnation) {
 	w.mu.Lock()
-	e := End{Start: s, Requests: w.broken[s]}
+	e := Crash{Incarnation: s, Requests: w.broken[s]}
 	delete(w.broken, s)
 	now := w.now()
 	w.left = slices.DeleteFunc(w.left, func(l leaving) bool { return !now.Before(l.until) })
@@ -91,10 +91,10 @@
 }
 
 // probe tells of an end if the process has ended; where that is not known it asks again a few times.
-func (w *Witness) probe(e End, left int) {
+func (w *CrashDetector) probe(e Crash, left int) {
 	ctx, stop := context.WithTimeout(context.Background(), probeMost)
 	defer stop()
-	ended, known := w.ended(ctx, e.Start)
+	ended, known := w.ended(ctx, e.Incarnation)
 	switch {
 	case ended:
 		w.tell(e)
--- a/internal/quarantine/witness_test.go
+++ b/internal/quarantine/witness_test.go
@@ -12,37 +12,37 @@
 	var (
 		at     time.Time
 		paused []func()
-		told   []End
+		told   []Crash
 		ended  bool
 		known  bool
-		w      *Witness
+		w      *CrashDetector
 	)
-	start := Start{Instance: "i"}
-	present := func(name string) Presence { return Presence{Fingerprint: request(name)} }
+	start := Incarnation{Instance: "i"}
+	present := func(name string) InFlightRequest { return InFlightRequest{Fingerprint: request(name)} }
 	BeforeEach(func() {
 		at, paused, told, ended, known = time.Unix(1000, 0), nil, nil, true, true
-		w = NewWitness(func(context.Context, Start) (bool, bool) { return ended, known }, func(e End) { told = append(told, e) }, func() time.Time { return at })
+		w = NewCrashDetector(func(context.Context, Incarnation) (bool, bool) { return ended, known }, func(e Crash) { told = append(told, e) }, func() time.Time { return at })
 		w.after = func(_ time.Duration, f func()) { paused = append(paused, f) }
 	})
 
 	It("tells of them together once the upstream's process is known to have ended", func() {
-		w.Broke(start, present("a"))
-		w.Broke(start, present("b"))
+		w.RequestBroken(start, present("a"))
+		w.RequestBroken(start, present("b"))
 		Expect(paused).To(HaveLen(1))
 		paused[0]()
-		Expect(told).To(Equal([]End{{Start: start, Requests: []Presence{present("a"), present("b")}}}))
+		Expect(told).To(Equal([]Crash{{Incarnation: start, Requests: []InFlightRequest{present("a"), present("b")}}}))
 	})
 
 	It("tells nothing where the process lives: its connections were reset", func() {
 		ended = false
-		w.Broke(start, present("a"))
+		w.RequestBroken(start, present("a"))
 		paused[0]()
 		Expect(told).To(BeEmpty())
 	})
 
 	It("asks again a few times where no answer comes: the upstream may be behind a queue", func() {
 		ended, known = false, false
-		w.Broke(start, present("a"))
+		w.RequestBroken(start, present("a"))
 		paused[0]()
 		Expect(paused).To(HaveLen(2))
 		paused[1]()
@@ -50,7 +50,7 @@
 		paused[2]()
 		Expect(told).To(HaveLen(1))
 		ended, known = false, false
-		w.Broke(start, present("a"))
+		w.RequestBroken(start, present("a"))
 		for n := 3; n < len(paused); n++ {
 			paused[n]()
 		}
@@ -59,17 +59,17 @@
 	})
 
 	It("tells of those too that were given up there just before, as the upstream may have begun them", func() {
-		w.Left(start, present("left"))
-		w.Left(Start{Instance: "other"}, present("elsewhere"))
-		w.Broke(start, present("a"))
+		w.RequestAbandoned(start, present("left"))
+		w.RequestAbandoned(Incarnation{Instance: "other"}, present("elsewhere"))
+		w.RequestBroken(start, present("a"))
 		paused[0]()
-		Expect(told[0].Requests).To(Equal([]Presence{present("a"), present("left")}))
+		Expect(told[0].Requests).To(Equal([]InFlightRequest{present("a"), present("left")}))
 		at = at.Add(leftLife)
-		w.Broke(start, present("a"))
+		w.RequestBroken(start, present("a"))
 		paused[1]()
-		Expect(told[1].Requests).To(Equal([]Presence{present("a")}))
+		Expect(told[1].Requests).To(Equal([]InFlightRequest{present("a")}))
 		for range mostLeft + 5 {
-			w.Left(start, present("many"))
+			w.RequestAbandoned(start, present("many"))
 		}
 		Expect(w.left).To(HaveLen(mostLeft))
 	})
