--- a/internal/dating/dating.go
+++ b/internal/dating/dating.go
@@ -32,7 +32,7 @@
 // DateSource is who dated an event, and how.
 type DateSource struct {
 	// Observer is the address of the process that saw it.
-	Observer       string
+	Observer string
 	Evidence Evidence
 }
 
--- a/internal/facts/facts_test.go
+++ b/internal/facts/facts_test.go
@@ -21,7 +21,9 @@
 var _ = Describe("facts", func() {
 	var now time.Time
 	var f *Facts
-	named := func(r id.Revision) Publication { return Publication{Revision: r, PublishTime: dating.TimeBounds{After: now}, CompleteUntil: now} }
+	named := func(r id.Revision) Publication {
+		return Publication{Revision: r, PublishTime: dating.TimeBounds{After: now}, CompleteUntil: now}
+	}
 	BeforeEach(func() {
 		now = time.Unix(1000, 0)
 		f = New(func() time.Time { return now })
--- a/internal/facts/leaving.go
+++ b/internal/facts/leaving.go
@@ -68,7 +68,7 @@
 	return f.leaves(n, born)
 }
 
-// leaves is SaysLeaving for callers that hold the lock.
+// leaves is AnnouncedLeaving for callers that hold the lock.
 func (f *Facts) leaves(n id.Instance, born id.Birth) bool {
 	l, ok := f.leavers[n]
 	return ok && !l.born.Before(born)
--- a/internal/facts/word_test.go
+++ b/internal/facts/word_test.go
@@ -23,8 +23,12 @@
 		return &Instance{ID: n, Address: "a", ListPosition: seen}
 	}
 	leaving := func() bool { return f.Instances()[0].Leaving }
-	left := func(offset id.Position) Announcement { return Announcement{Instance: "i", Address: "a", Left: true, Position: offset} }
-	back := func(offset id.Position) Announcement { return Announcement{Instance: "i", Address: "a", Position: offset} }
+	left := func(offset id.Position) Announcement {
+		return Announcement{Instance: "i", Address: "a", Left: true, Position: offset}
+	}
+	back := func(offset id.Position) Announcement {
+		return Announcement{Instance: "i", Address: "a", Position: offset}
+	}
 
 	It("make an upstream leave that the own list has as ready, until the list has it as ready from later on", func() {
 		f.SetInstance(ready("i", 3))
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -28,15 +28,15 @@
 type InFlightRequest struct {
 	Fingerprint  Fingerprint
 	Organisation id.Organisation
-	Attempt          CallerAttempt
+	Attempt      CallerAttempt
 	// Alone is true of one that was sent on alone, as it was suspected.
 	Alone bool
 }
 
 // Crash is the end of an upstream's process as one gateway has seen it, with that gateway's own requests there.
 type Crash struct {
-	Incarnation    Incarnation
-	Requests []InFlightRequest
+	Incarnation Incarnation
+	Requests    []InFlightRequest
 }
 
 // HeldRequest is a request that is held: it is not sent to upstreams any more.
@@ -47,7 +47,7 @@
 	Incarnations []Incarnation
 	// HeldBy is the VM whose gateway held it first, as far as it is known, and SinceUnixMs when, by that VM's time of day,
 	// which may jump: it is for people to read and decides nothing.
-	HeldBy          id.VM
+	HeldBy      id.VM
 	SinceUnixMs int64
 	// refused is how often this process has refused it.
 	refused uint64
--- a/internal/reports/subscriber.go
+++ b/internal/reports/subscriber.go
@@ -120,10 +120,10 @@
 		conn: c, port: port, domain: d, facts: f, tracker: placement.NewTracker(now), now: now, log: l, vars: new(expvar.Map),
 		stagers: map[string]*heard{}, stamps: newStamps(now()),
 		refusedLines: rate.NewLimiter(refusedPerSecond, 1), newsLimit: rate.NewLimiter(newsPerSecond, newsAtOnce),
-		OnCrashNews:    func(*pb.CrashNews) {},
-		offers:    placement.NewOffers(now),
-		sent:      func(id.Domain, int) {},
-		questions: questions{waiting: map[uint64]chan uint64{}},
+		OnCrashNews: func(*pb.CrashNews) {},
+		offers:      placement.NewOffers(now),
+		sent:        func(id.Domain, int) {},
+		questions:   questions{waiting: map[uint64]chan uint64{}},
 	}
 	s.tracker.Gateways = s.GatewayCount
 	return s
--- a/internal/swapplan/plan.go
+++ b/internal/swapplan/plan.go
@@ -44,7 +44,7 @@
 // NextVersion is what is known of a version that was named after the one in question.
 type NextVersion struct {
 	// StartedAt is when its transfer began, and Held how many of its All chunks are there.
-	StartedAt     time.Time
+	StartedAt               time.Time
 	ChunksHeld, ChunksTotal int
 	// UsualDuration is how long the transfer of the version before took as a whole.
 	UsualDuration time.Duration
--- a/internal/swapplan/plan_test.go
+++ b/internal/swapplan/plan_test.go
@@ -21,9 +21,9 @@
 func drawn(t *rapid.T) Inputs {
 	size := rapid.IntRange(1, 60).Draw(t, "size")
 	return Inputs{
-		StagedAt:    start.Add(time.Duration(rapid.IntRange(0, 9000).Draw(t, "staged")) * time.Millisecond),
+		StagedAt:      start.Add(time.Duration(rapid.IntRange(0, 9000).Draw(t, "staged")) * time.Millisecond),
 		ServableUntil: start.Add(time.Duration(rapid.IntRange(0, 9000).Draw(t, "until")) * time.Millisecond),
-		Size:      size, Rank: rapid.IntRange(0, size-1).Draw(t, "rank"),
+		Size:          size, Rank: rapid.IntRange(0, size-1).Draw(t, "rank"),
 		SwapDuration: time.Duration(rapid.IntRange(1, 3000).Draw(t, "out")) * time.Millisecond,
 	}
 }
