--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -101,8 +101,8 @@
 	return f.self
 }
 
-// Report changes the status that goes out with the next heartbeat and sends that at once.
-func (f *Follower) Report(change func(s *pb.VMStatus)) {
+// UpdateStatus changes the status that goes out with the next heartbeat and sends that at once.
+func (f *Follower) UpdateStatus(change func(s *pb.VMStatus)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	next := &pb.VMStatus{
@@ -246,9 +246,9 @@
 // turnWait is how long one question for a turn waits at the entry.
 const turnWait = 5 * time.Second
 
-// AskTurn asks the entry that gives a rollout's turns in this failure domain: the first in the rollout's rendezvous
+// RequestSwapPermit asks the entry that gives a rollout's turns in this failure domain: the first in the rollout's rendezvous
 // order that answers. Without an entry there is no turn, as nobody could say who else is out.
-func (f *Follower) AskTurn(ctx context.Context, r id.Rollout) bool {
+func (f *Follower) RequestSwapPermit(ctx context.Context, r id.Rollout) bool {
 	var near []id.VM
 	address := map[id.VM]string{}
 	for _, v := range f.List.Entries(id.Domain(f.self.GetDomain())) {
--- a/internal/upstream/part.go
+++ b/internal/upstream/part.go
@@ -79,7 +79,7 @@
 	}
 	a := NewActivator(live, h.Log, h.Events)
 	a.engineState, a.load, a.replicas, a.config = client.State, client.Load, m.Replicas, f.State
-	a.askTurn, a.report, a.localURL = f.AskTurn, f.Report, "http://"+l.Addr().String()
+	a.askTurn, a.report, a.localURL = f.RequestSwapPermit, f.UpdateStatus, "http://"+l.Addr().String()
 	p.activator = a
 	r := h.Part(rpc.PartName).(*rpc.Server)
 	r.Handle(springrailv1connect.NewUpstreamServiceHandler(p.Door))
@@ -107,14 +107,14 @@
 
 // Drain tells the entries first, then waits for the requests in flight.
 func (p *Part) Drain(ctx context.Context) {
-	p.follower.Report(func(s *pb.VMStatus) { s.Leaving = true })
+	p.follower.UpdateStatus(func(s *pb.VMStatus) { s.Leaving = true })
 	p.Door.Drain(ctx)
 }
 
 func (p *Part) watchService(ctx context.Context) {
 	up := p.client.Healthy(ctx)
 	if up != p.follower.Status().GetUpstreamUp() {
-		p.follower.Report(func(s *pb.VMStatus) { s.UpstreamUp = up })
+		p.follower.UpdateStatus(func(s *pb.VMStatus) { s.UpstreamUp = up })
 	}
 }
 
