--- a/internal/measure/newsprocess.go
+++ b/internal/measure/newsprocess.go
@@ -134,29 +134,29 @@
 func (p *newsProcess) platform() *records.Platform {
 	return &records.Platform{
 		Store: records.Store{
-			Answers: func(ctx context.Context, _ string, _ id.Position) error {
+			Probe: func(ctx context.Context, _ string, _ id.Position) error {
 				p.hold()
 				err := p.door.answers(ctx)
 				p.hold()
 				return err
 			},
-			Newest: func(ctx context.Context, topic string, progress records.Progress) ([]records.Record, id.Position, error) {
+			Snapshot: func(ctx context.Context, topic string, progress records.Progress) ([]records.Record, id.Position, error) {
 				p.hold()
 				l, next, err := p.door.newest(ctx, topic, progress)
 				p.hold()
 				p.tally.brought(p.storeWay(), l)
 				return l, next, err
 			},
-			Read: func(ctx context.Context, topic string, from id.Position, wait time.Duration) (records.Reading, error) {
+			Read: func(ctx context.Context, topic string, from id.Position, wait time.Duration) (records.ReadResult, error) {
 				p.hold()
 				l, next, err := p.door.read(ctx, topic, from, wait)
 				p.hold()
 				p.tally.brought(p.storeWay(), l)
-				return records.Reading{Records: l, Next: next, End: next}, err
+				return records.ReadResult{Records: l, Next: next, End: next}, err
 			},
 		},
 		Operators: records.Topic{Name: newsOperators, Apply: p.applyConfig, Version: newsNumber},
-		Upstreams: records.Topic{Name: newsUpstreams, Apply: p.applyUpstream, Reduce: newsReduce, Upstreams: true},
+		Upstreams: records.Topic{Name: newsUpstreams, Apply: p.applyUpstream, Normalise: newsReduce, KeysAreUpstreams: true},
 	}
 }
 
@@ -180,7 +180,7 @@
 func (p *newsProcess) applyUpstream(r records.Record) error {
 	if r.Value != nil {
 		p.facts.SetInstance(&facts.Instance{
-			ID: id.Instance(r.Key), Address: r.Key, Leaving: newsStageOf(r.Value) == newsLeaving, Seen: r.At,
+			ID: id.Instance(r.Key), Address: r.Key, Leaving: newsStageOf(r.Value) == newsLeaving, Seen: r.Position,
 		})
 	}
 	p.tally.learn(r)
--- a/internal/measure/newsrun.go
+++ b/internal/measure/newsrun.go
@@ -117,7 +117,7 @@
 	}
 	s := &records.Settings{ConfigWait: newsListEvery, ListEvery: newsListEvery, StartWait: newsStartWait}
 	p.records = records.New(s, p.platform(), p.facts, newsDomain(domain), name, time.Now, newsQuiet)
-	p.service = p.records.Join(func(ctx context.Context, address string, q *pb.FollowRequest) (*pb.FollowResponse, error) {
+	p.service = p.records.UseTransport(func(ctx context.Context, address string, q *pb.FollowRequest) (*pb.FollowResponse, error) {
 		return r.net.ask(ctx, p, address, q)
 	})
 	r.processes = append(r.processes, p)
--- a/internal/measure/newsstore.go
+++ b/internal/measure/newsstore.go
@@ -58,7 +58,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topics[topic]
-	r := records.Record{Key: key, Value: value, At: s.at(len(t.records))}
+	r := records.Record{Key: key, Value: value, Position: s.at(len(t.records))}
 	t.records = append(t.records, r)
 	if value == nil {
 		delete(t.newest, key)
@@ -98,7 +98,7 @@
 		t := &newsTopic{newest: map[string]records.Record{}, first: min(s.topics[name].first, len(l))}
 		s.topics[name] = t
 		for i, r := range l {
-			r.At = s.at(i)
+			r.Position = s.at(i)
 			t.records = append(t.records, r)
 			if t.newest[r.Key] = r; r.Value == nil {
 				delete(t.newest, r.Key)
--- a/internal/measure/newstally.go
+++ b/internal/measure/newstally.go
@@ -125,7 +125,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range l {
-		c.ways[newsRecord{key: r.Key, offset: r.At, dropped: r.Value == nil}] = w
+		c.ways[newsRecord{key: r.Key, offset: r.Position, dropped: r.Value == nil}] = w
 	}
 }
 
@@ -147,7 +147,7 @@
 func (c *newsColumn) learn(r records.Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	way := c.ways[newsRecord{key: r.Key, offset: r.At, dropped: r.Value == nil}]
+	way := c.ways[newsRecord{key: r.Key, offset: r.Position, dropped: r.Value == nil}]
 	if way == newsUnknown {
 		way = newsByWhole
 	}
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -111,7 +111,7 @@
 			k.pause(ctx, wait)
 			continue
 		}
-		at, err := k.store.Add(ctx, k.topic, records.Record{Key: f.String(), Value: w.value})
+		at, err := k.store.Append(ctx, k.topic, records.Record{Key: f.String(), Value: w.value})
 		if err != nil || !k.written(f, w, at) {
 			k.later(f, w)
 		}
@@ -216,7 +216,7 @@
 // readAll takes the newest record of each key, and lets requests through whose record has gone. Where the store has come
 // back from an older copy since the last time, its records are what they were before instead.
 func (k *Keeper) readAll(ctx context.Context) (next id.Position, err error) {
-	l, next, err := k.store.Newest(ctx, k.topic, func(int) {})
+	l, next, err := k.store.Snapshot(ctx, k.topic, func(int) {})
 	if err != nil {
 		return 0, err
 	}
@@ -247,7 +247,7 @@
 func (k *Keeper) enter(next id.Position) (returned bool, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	err = records.SameEra(next, k.all)
+	err = records.CheckEra(next, k.all)
 	if errors.Is(err, platform.ErrUnavailable) {
 		return false, err
 	}
@@ -301,7 +301,7 @@
 func (k *Keeper) read(ctx context.Context, from id.Position) (next id.Position, err error) {
 	a, err := k.store.Read(ctx, k.topic, from, followWait)
 	if err == nil {
-		err = records.SameEra(a.Next, from)
+		err = records.CheckEra(a.Next, from)
 	}
 	if err != nil {
 		return from, err
@@ -348,7 +348,7 @@
 // skip tells of a record that can't be read: others may write to the topic.
 func (k *Keeper) skip(r records.Record, err error) {
 	k.list.vars.Add("records_skipped", 1)
-	k.log.Warn().Err(err).Str("key", r.Key).Uint64("offset", r.At.Offset()).Uint64("era", r.At.Era()).Msg("record of a held request skipped")
+	k.log.Warn().Err(err).Str("key", r.Key).Uint64("offset", r.Position.Offset()).Uint64("era", r.Position.Era()).Msg("record of a held request skipped")
 }
 
 // tell encodes a held request as its record.
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -32,7 +32,7 @@
 }
 
 func (s *shelf) store() records.Store {
-	return records.Store{Newest: s.newest, Read: s.read, Add: s.add}
+	return records.Store{Snapshot: s.newest, Read: s.read, Append: s.add}
 }
 
 func (s *shelf) set(f func()) {
@@ -53,8 +53,8 @@
 	var at id.Position
 	s.set(func() {
 		s.writes++
-		r.At = s.at(len(s.records))
-		at = r.At
+		r.Position = s.at(len(s.records))
+		at = r.Position
 		s.records = append(s.records, r)
 	})
 	return at, nil
@@ -73,7 +73,7 @@
 		s.era++
 		s.records = slices.Clone(s.records[:n])
 		for i := range s.records {
-			s.records[i].At = s.at(i)
+			s.records[i].Position = s.at(i)
 		}
 	})
 }
@@ -110,29 +110,29 @@
 	return l, s.at(len(s.records)), nil
 }
 
-func (s *shelf) read(ctx context.Context, _ string, from id.Position, _ time.Duration) (records.Reading, error) {
+func (s *shelf) read(ctx context.Context, _ string, from id.Position, _ time.Duration) (records.ReadResult, error) {
 	for {
 		s.mu.Lock()
 		change := s.change
 		switch {
 		case s.away:
 			s.mu.Unlock()
-			return records.Reading{}, platform.ErrUnavailable
+			return records.ReadResult{}, platform.ErrUnavailable
 		case s.gone:
 			s.mu.Unlock()
-			return records.Reading{}, platform.ErrExpired
+			return records.ReadResult{}, platform.ErrExpired
 		case int(from.Offset()) > len(s.records):
 			s.mu.Unlock()
-			return records.Reading{}, platform.ErrExpired
+			return records.ReadResult{}, platform.ErrExpired
 		case int(from.Offset()) < len(s.records) || from.Era() < s.era:
 			l, next := s.records[from.Offset():], s.at(len(s.records))
 			s.mu.Unlock()
-			return records.Reading{Records: l, Next: next}, nil
+			return records.ReadResult{Records: l, Next: next}, nil
 		}
 		s.mu.Unlock()
 		select {
 		case <-ctx.Done():
-			return records.Reading{}, errors.Join(platform.ErrUnavailable, ctx.Err())
+			return records.ReadResult{}, errors.Join(platform.ErrUnavailable, ctx.Err())
 		case <-change:
 		}
 	}
--- a/internal/quarantine/part.go
+++ b/internal/quarantine/part.go
@@ -15,9 +15,9 @@
 func init() {
 	kernel.Register(kernel.Part{
 		Name:  PartName,
-		Needs: []string{reports.SubscriberPart, records.PlatformPart, rpc.PartName},
+		Needs: []string{reports.SubscriberPart, records.PlatformPartName, rpc.PartName},
 		New: func(h *kernel.Host) (any, error) {
-			p := h.Part(records.PlatformPart).(*records.Platform)
+			p := h.Part(records.PlatformPartName).(*records.Platform)
 			q := New(NewList(h.Identity.VM, clock.Now, h.Log), h.Part(reports.SubscriberPart).(*reports.Subscriber), p)
 			h.Part(rpc.PartName).(*rpc.Server).Handle(springrailv1connect.NewQuarantineServiceHandler(q))
 			h.Metric("quarantine", q.List.vars)
@@ -36,7 +36,7 @@
 
 // New connects a list with other gateways, by way of stagers, and with the platform's store.
 func New(l *List, s *reports.Subscriber, p *records.Platform) *Quarantine {
-	q := &Quarantine{List: l, Keeper: NewKeeper(p.Store, p.Held, l, l.now, l.log)}
+	q := &Quarantine{List: l, Keeper: NewKeeper(p.Store, p.HeldTopic, l, l.now, l.log)}
 	q.Tell = func(n News) {
 		for _, m := range n.Tell() {
 			s.Tell(m)
--- a/internal/records/away.go
+++ b/internal/records/away.go
@@ -10,27 +10,27 @@
 
 // outage notes what a batch says of the store's being away. The caller holds the lock.
 func (l *Log) outage(b Batch) {
-	fresh := l.started && b.Confirmed.Sub(l.confirmed) <= freshMost
-	if b.Own && b.Steady && l.started && !fresh {
+	fresh := l.started && b.ConfirmedAt.Sub(l.confirmed) <= freshMost
+	if b.FromStore && b.Uninterrupted && l.started && !fresh {
 		// The store has been away, or as slow: this process has asked all the time.
 		l.note(errAway, true)
 	}
-	if b.Own && b.Steady && l.started && b.Away.Sub(l.confirmed) > awayFor {
-		l.returned = outageEnd{at: b.Away, next: l.next}
+	if b.FromStore && b.Uninterrupted && l.started && b.LastFailedAt.Sub(l.confirmed) > awayFor {
+		l.returned = outageEnd{at: b.LastFailedAt, next: l.next}
 	}
-	l.note(nil, b.Own)
+	l.note(nil, b.FromStore)
 	if fresh {
 		// This process has had fresh records all the time: its source alone had lost the store, and upstreams whose records
 		// went have gone. With the grace of a first reader that was cut off the last process knew after 4.5 s.
 		return
 	}
 	if l.absent != nil {
-		l.absent.GraceUntil(b.Grace)
+		l.absent.GraceUntil(b.GraceUntil)
 	}
-	if l.started && l.next >= b.Returned.next && b.Returned.at.After(l.returned.at) {
-		l.returned = b.Returned
+	if l.started && l.next >= b.OutageEnd.next && b.OutageEnd.at.After(l.returned.at) {
+		l.returned = b.OutageEnd
 	}
-	if l.started && l.absent != nil && b.Began.After(l.confirmed) {
+	if l.started && l.absent != nil && b.FirstReadAt.After(l.confirmed) {
 		// The source started after this process had lost the store, and can't tell whether it was away.
 		l.absent.Returned()
 	}
@@ -69,15 +69,15 @@
 	// A date that contradicts what its teller knows must not hide the own one.
 	r.Bracket, _ = dating.Bracket{}.Merge(r.Bracket)
 	at, e := l.unread(r.Had)
-	r.Missed = at
+	r.UnreadSince = at
 	if at.After(r.After) {
 		r.After, r.Origin = at, dating.Origin{By: l.turn.self, Evidence: e}
 	}
 }
 
-// Lost notes that the store can't be reached. While another process still hands fresh records on, nothing is lost: upstreams
+// NoteStoreFailure notes that the store can't be reached. While another process still hands fresh records on, nothing is lost: upstreams
 // whose records go are gone, and get no grace.
-func (l *Log) Lost(err error) {
+func (l *Log) NoteStoreFailure(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.failed = l.now()
--- a/internal/records/dated_test.go
+++ b/internal/records/dated_test.go
@@ -19,15 +19,15 @@
 		waits := make(chan time.Duration, 8)
 		g := &gate{}
 		r := &Reader{
-			store: &Store{Read: func(ctx context.Context, _ string, from id.Position, wait time.Duration) (Reading, error) {
+			store: &Store{Read: func(ctx context.Context, _ string, from id.Position, wait time.Duration) (ReadResult, error) {
 				waits <- wait
 				kernel.Pause(ctx, 20*time.Millisecond)
-				return Reading{Next: from, End: from}, nil
+				return ReadResult{Next: from, End: from}, nil
 			}},
 			log: NewLog(Topic{Name: "t"}, facts.New(time.Now), time.Now, quiet), facts: facts.New(time.Now), gate: g,
 			now: time.Now, own: func() {}, tryPause: func() time.Duration { return retryPause }, wait: time.Second,
 		}
-		r.log.Take(Batch{Whole: true, Next: 1, Confirmed: time.Now()})
+		r.log.Merge(Batch{Snapshot: true, Next: 1, ConfirmedAt: time.Now()})
 		g.set(false)
 		ctx, stop := context.WithCancel(context.Background())
 		DeferCleanup(stop)
@@ -61,46 +61,46 @@
 			return nil
 		}}
 		l := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, quiet)
-		l.Take(Batch{Whole: true, Next: 4, Confirmed: now, Settled: now, Own: true})
+		l.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: now, CaughtUpAt: now, FromStore: true})
 		now = now.Add(awayFor + time.Second)
-		l.Lost(platform.ErrUnavailable)
+		l.NoteStoreFailure(platform.ErrUnavailable)
 		back := now.Add(-200 * time.Millisecond)
-		r := Record{Key: "version", Value: []byte("2"), At: 4}
-		l.Take(Batch{Records: []Record{r}, Next: 5, Confirmed: now, Settled: now, Away: back, Own: true, Steady: true})
-		Expect([]time.Time{got.After, got.Missed}).To(Equal([]time.Time{back, back}))
+		r := Record{Key: "version", Value: []byte("2"), Position: 4}
+		l.Merge(Batch{Records: []Record{r}, Next: 5, ConfirmedAt: now, CaughtUpAt: now, LastFailedAt: back, FromStore: true, Uninterrupted: true})
+		Expect([]time.Time{got.After, got.UnreadSince}).To(Equal([]time.Time{back, back}))
 
 		short := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, quiet)
 		last := now.Add(-awayFor)
-		short.Take(Batch{Whole: true, Next: 4, Confirmed: last, Settled: last, Own: true})
-		short.Lost(platform.ErrUnavailable)
-		short.Take(Batch{Records: []Record{r}, Next: 5, Confirmed: now, Settled: now, Away: back, Own: true, Steady: true})
-		Expect([]time.Time{got.After, got.Missed}).To(Equal([]time.Time{last, last}), "others may have read what was written meanwhile")
+		short.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: last, CaughtUpAt: last, FromStore: true})
+		short.NoteStoreFailure(platform.ErrUnavailable)
+		short.Merge(Batch{Records: []Record{r}, Next: 5, ConfirmedAt: now, CaughtUpAt: now, LastFailedAt: back, FromStore: true, Uninterrupted: true})
+		Expect([]time.Time{got.After, got.UnreadSince}).To(Equal([]time.Time{last, last}), "others may have read what was written meanwhile")
 
 		stood := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, quiet)
 		asked := now.Add(-awayFor - time.Second)
-		stood.Take(Batch{Whole: true, Next: 4, Confirmed: asked, Settled: asked, Own: true})
-		stood.Lost(platform.ErrUnavailable)
-		stood.Take(Batch{Records: []Record{r}, Next: 5, Confirmed: now, Settled: now, Away: back, Own: true})
+		stood.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: asked, CaughtUpAt: asked, FromStore: true})
+		stood.NoteStoreFailure(platform.ErrUnavailable)
+		stood.Merge(Batch{Records: []Record{r}, Next: 5, ConfirmedAt: now, CaughtUpAt: now, LastFailedAt: back, FromStore: true})
 		Expect(got.After).To(Equal(asked), "it stood still itself")
 
 		follower := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, quiet)
-		follower.Take(Batch{Whole: true, Next: 4, Confirmed: asked, Settled: asked})
+		follower.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: asked, CaughtUpAt: asked})
 		told := dating.Bracket{After: back}
-		follower.Take(Batch{
-			Records: []Record{{Key: "version", Value: []byte("2"), At: 4, Bracket: told}}, Next: 5, Confirmed: now,
-			Returned: outageEnd{at: back, next: 4},
+		follower.Merge(Batch{
+			Records: []Record{{Key: "version", Value: []byte("2"), Position: 4, Bracket: told}}, Next: 5, ConfirmedAt: now,
+			OutageEnd: outageEnd{at: back, next: 4},
 		})
-		Expect([]time.Time{got.After, got.Missed}).To(Equal([]time.Time{back, back}))
+		Expect([]time.Time{got.After, got.UnreadSince}).To(Equal([]time.Time{back, back}))
 
 		behind := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, quiet)
-		behind.Take(Batch{Whole: true, Next: 4, Confirmed: asked, Settled: asked})
-		behind.Take(Batch{Records: []Record{r}, Next: 6, Confirmed: now, Returned: outageEnd{at: back, next: 5}})
+		behind.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: asked, CaughtUpAt: asked})
+		behind.Merge(Batch{Records: []Record{r}, Next: 6, ConfirmedAt: now, OutageEnd: outageEnd{at: back, next: 5}})
 		Expect(got.After).To(Equal(asked), "its source had read that before the outage")
 
 		fresh := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, quiet)
 		since := now.Add(-freshMost + time.Millisecond)
-		fresh.Take(Batch{Whole: true, Next: 4, Confirmed: since, Settled: since})
-		fresh.Take(Batch{Records: []Record{{Key: "version", Value: []byte("2"), At: 4}}, Next: 5, Confirmed: now, Returned: outageEnd{at: back, next: 4}})
+		fresh.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: since, CaughtUpAt: since})
+		fresh.Merge(Batch{Records: []Record{{Key: "version", Value: []byte("2"), Position: 4}}, Next: 5, ConfirmedAt: now, OutageEnd: outageEnd{at: back, next: 4}})
 		Expect(got.After).To(Equal(since), "its source alone had lost the store")
 	})
 
@@ -111,11 +111,11 @@
 			got = append(got, r.After)
 			return nil
 		}}, facts.New(time.Now), func() time.Time { return now }, quiet)
-		r := Record{Key: "version", Value: []byte("2"), At: 3}
-		l.Take(Batch{Whole: true, Records: []Record{r}, Next: 4, Confirmed: now})
+		r := Record{Key: "version", Value: []byte("2"), Position: 3}
+		l.Merge(Batch{Snapshot: true, Records: []Record{r}, Next: 4, ConfirmedAt: now})
 		r.After = now.Add(-3 * time.Second)
-		l.Take(Batch{Whole: true, Records: []Record{r}, Next: 4, Confirmed: now})
-		l.Take(Batch{Whole: true, Records: []Record{r}, Next: 4, Confirmed: now})
+		l.Merge(Batch{Snapshot: true, Records: []Record{r}, Next: 4, ConfirmedAt: now})
+		l.Merge(Batch{Snapshot: true, Records: []Record{r}, Next: 4, ConfirmedAt: now})
 		Expect(got).To(Equal([]time.Time{{}, r.After}))
 	})
 })
@@ -124,11 +124,11 @@
 	It("that leaves records for the next, or lacks what others have read, says nothing of what comes after it", func() {
 		f := facts.New(time.Now)
 		l := NewLog(Topic{Name: "t", Apply: func(Record) error { return nil }}, f, time.Now, quiet)
-		l.Take(Batch{Whole: true, Next: 1, Confirmed: time.Now()})
+		l.Merge(Batch{Snapshot: true, Next: 1, ConfirmedAt: time.Now()})
 		end := id.Position(3)
 		r := &Reader{
-			store: &Store{Read: func(_ context.Context, _ string, from id.Position, _ time.Duration) (Reading, error) {
-				return Reading{Records: []Record{{Key: "k", Value: []byte("v"), At: from}}, Next: from + 1, End: end}, nil
+			store: &Store{Read: func(_ context.Context, _ string, from id.Position, _ time.Duration) (ReadResult, error) {
+				return ReadResult{Records: []Record{{Key: "k", Value: []byte("v"), Position: from}}, Next: from + 1, End: end}, nil
 			}},
 			log: l, facts: f, gate: &gate{}, now: time.Now, own: func() {}, wait: time.Second, prompt: true,
 		}
@@ -166,13 +166,13 @@
 				got = r
 				return nil
 			}}, f, func() time.Time { return now }, quiet)
-			l.Take(Batch{Whole: true, Next: 1, Confirmed: now, Settled: now})
+			l.Merge(Batch{Snapshot: true, Next: 1, ConfirmedAt: now, CaughtUpAt: now})
 			r := &Reader{
-				store: &Store{Read: func(_ context.Context, _ string, from id.Position, _ time.Duration) (Reading, error) {
+				store: &Store{Read: func(_ context.Context, _ string, from id.Position, _ time.Duration) (ReadResult, error) {
 					now = now.Add(c.took)
-					a := Reading{Next: from, End: from + id.Position(c.records)}
+					a := ReadResult{Next: from, End: from + id.Position(c.records)}
 					for range c.records {
-						a.Records = append(a.Records, Record{Key: "version", Value: []byte{byte(a.Next)}, At: a.Next})
+						a.Records = append(a.Records, Record{Key: "version", Value: []byte{byte(a.Next)}, Position: a.Next})
 						a.Next++
 					}
 					return a, nil
@@ -182,7 +182,7 @@
 			_, err := r.step(context.Background())
 			Expect(err).NotTo(HaveOccurred())
 			Expect(got.After).To(Equal(start.Add(c.want)))
-			Expect(got.Missed).To(Equal(got.After))
+			Expect(got.UnreadSince).To(Equal(got.After))
 		}
 	})
 })
--- a/internal/records/dates_test.go
+++ b/internal/records/dates_test.go
@@ -72,7 +72,7 @@
 	p := &datedProcess{world: w, facts: facts.New(w.clock), follows: map[*Log]uint64{}, steppedAt: w.now}
 	p.log = NewLog(Topic{Name: "t", Apply: p.apply}, p.facts, w.clock, quiet)
 	p.reader = &Reader{
-		store: &Store{Answers: p.answers, Newest: p.newest, Read: p.read}, log: p.log, facts: p.facts, gate: &gate{}, now: w.clock,
+		store: &Store{Probe: p.answers, Snapshot: p.newest, Read: p.read}, log: p.log, facts: p.facts, gate: &gate{}, now: w.clock,
 		own: func() {}, look: p.log, wait: 700 * time.Millisecond,
 		claim: func(context.Context, *Log, bool) bool { return true },
 	}
@@ -84,7 +84,7 @@
 		return nil
 	}
 	n, err := strconv.Atoi(string(r.Value))
-	p.facts.SetWanted("m", facts.Naming{Revision: id.Revision(n), Date: r.Bracket, Missed: r.Missed})
+	p.facts.SetWanted("m", facts.Naming{Revision: id.Revision(n), Date: r.Bracket, Missed: r.UnreadSince})
 	return err
 }
 
@@ -116,10 +116,10 @@
 }
 
 // read waits for a record. One that is written meanwhile ends the wait, or the store passes the reader over.
-func (p *datedProcess) read(_ context.Context, _ string, from id.Position, wait time.Duration) (Reading, error) {
+func (p *datedProcess) read(_ context.Context, _ string, from id.Position, wait time.Duration) (ReadResult, error) {
 	w := p.world
 	if p.cut || w.away {
-		return Reading{}, p.reached()
+		return ReadResult{}, p.reached()
 	}
 	if from == id.Position(len(w.records)) && wait > 0 {
 		before := time.Duration(rapid.IntRange(0, int(wait.Milliseconds())).Draw(w.t, "written after")) * time.Millisecond
@@ -129,11 +129,11 @@
 		}
 		if from == id.Position(len(w.records)) || rapid.IntRange(0, 3).Draw(w.t, "passed over") == 0 {
 			w.now = w.now.Add(wait - before)
-			return Reading{Next: from, End: from}, p.reached()
+			return ReadResult{Next: from, End: from}, p.reached()
 		}
 	}
 	l := append([]Record(nil), w.records[from:]...)
-	return Reading{Records: l, Next: id.Position(len(w.records)), End: id.Position(len(w.records))}, p.reached()
+	return ReadResult{Records: l, Next: id.Position(len(w.records)), End: id.Position(len(w.records))}, p.reached()
 }
 
 // step lets the process ask the store once.
@@ -147,7 +147,7 @@
 		if !p.log.settled.IsZero() {
 			p.world.blind = append(p.world.blind, span{from: p.log.settled, to: began})
 		}
-		p.log.Lost(err)
+		p.log.NoteStoreFailure(err)
 	} else {
 		p.reader.stood = false
 	}
@@ -162,7 +162,7 @@
 	next, _ := p.log.Position()
 	answered := p.world.now
 	p.world.pass(300, "way of a question")
-	c, _, _ := o.log.Since(Position{Epoch: o.log.epoch, From: p.follows[o.log], Next: next})
+	c, _, _ := o.log.ChangesSince(Cursor{Epoch: o.log.epoch, Change: p.follows[o.log], Next: next})
 	told := tell("t", c)
 	p.world.pass(900, "way of an answer")
 	f := &Follower{now: p.world.clock}
@@ -174,7 +174,7 @@
 	if err != nil {
 		p.world.t.Fatal(err)
 	}
-	p.follows[o.log] = c.Last
+	p.follows[o.log] = c.LastChange
 }
 
 // tells puts a report of a process on its way.
@@ -221,7 +221,7 @@
 }
 
 func (w *datedWorld) write(key, value string) {
-	w.records = append(w.records, Record{Key: key, Value: []byte(value), At: id.Position(len(w.records))})
+	w.records = append(w.records, Record{Key: key, Value: []byte(value), Position: id.Position(len(w.records))})
 }
 
 // allowed is the latest right date of a naming. What came after a process had read last, and before it asked in vain,
--- a/internal/records/deletion_test.go
+++ b/internal/records/deletion_test.go
@@ -46,25 +46,25 @@
 	if !resumes {
 		next = 0
 	}
-	c, _, started := source.Since(Position{Epoch: epoch, From: r.from, Next: next})
+	c, _, started := source.ChangesSince(Cursor{Epoch: epoch, Change: r.from, Next: next})
 	if !started {
 		r.source = nil
 		return Batch{}, false
 	}
-	b := Batch{Whole: c.Whole, Next: c.Next, Confirmed: now, Gapped: c.Gapped, GapFrom: c.GapFrom}
+	b := Batch{Snapshot: c.Snapshot, Next: c.Next, ConfirmedAt: now, HasGap: c.HasGap, GapFrom: c.GapFrom}
 	for _, t := range c.Records {
 		b.Records = append(b.Records, t.Record)
 	}
-	r.from = c.Last
+	r.from = c.LastChange
 	return b, true
 }
 
 // follow asks a source, and for the whole where its changes do not do, as Follower does.
 func (r *replica) follow(source *replica, now time.Time, resumes bool) {
-	if b, ok := r.ask(source, now, resumes); ok && !r.Take(b) {
+	if b, ok := r.ask(source, now, resumes); ok && !r.Merge(b) {
 		r.from = askWhole
 		b, _ = r.ask(source, now, resumes)
-		r.Take(b)
+		r.Merge(b)
 	}
 }
 
@@ -85,41 +85,41 @@
 
 	It("is gone at the followers too once the reader has read all records anew", func() {
 		source, follower := newReplica(f, clock), newReplica(f, clock)
-		source.Take(Batch{Whole: true, Records: []Record{{Key: "u", Value: []byte("ready"), At: 3}}, Next: 4, Confirmed: now})
+		source.Merge(Batch{Snapshot: true, Records: []Record{{Key: "u", Value: []byte("ready"), Position: 3}}, Next: 4, ConfirmedAt: now})
 		follower.follow(source, now, true)
-		source.Take(Batch{Whole: true, Next: 9, Confirmed: now})
+		source.Merge(Batch{Snapshot: true, Next: 9, ConfirmedAt: now})
 		follower.follow(source, now, true)
 		Expect(follower.got).To(BeEmpty())
 	})
 
 	It("is gone at a follower that has read a newer record of it itself", func() {
 		source, follower := newReplica(f, clock), newReplica(f, clock)
-		source.Take(Batch{Whole: true, Records: []Record{{Key: "u", Value: []byte("ready"), At: 3}}, Next: 4, Confirmed: now})
+		source.Merge(Batch{Snapshot: true, Records: []Record{{Key: "u", Value: []byte("ready"), Position: 3}}, Next: 4, ConfirmedAt: now})
 		follower.follow(source, now, true)
-		follower.Take(Batch{Records: []Record{{Key: "u", Value: []byte("busy"), At: 6}}, Next: 7, Confirmed: now})
-		source.Take(Batch{Whole: true, Next: 9, Confirmed: now})
+		follower.Merge(Batch{Records: []Record{{Key: "u", Value: []byte("busy"), Position: 6}}, Next: 7, ConfirmedAt: now})
+		source.Merge(Batch{Snapshot: true, Next: 9, ConfirmedAt: now})
 		follower.follow(source, now, true)
 		Expect(follower.got).To(BeEmpty())
 	})
 
 	It("is gone at a follower where its record was the last one written before the reading", func() {
 		source, follower := newReplica(f, clock), newReplica(f, clock)
-		source.Take(Batch{Whole: true, Records: []Record{{Key: "u", Value: []byte("ready"), At: 3}}, Next: 4, Confirmed: now})
+		source.Merge(Batch{Snapshot: true, Records: []Record{{Key: "u", Value: []byte("ready"), Position: 3}}, Next: 4, ConfirmedAt: now})
 		follower.follow(source, now, true)
-		source.Take(Batch{Whole: true, Next: 4, Confirmed: now})
+		source.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: now})
 		follower.follow(source, now, true)
 		Expect(follower.got).To(BeEmpty())
 	})
 
 	It("is back where it was written again after the reading, and stays where that was before", func() {
 		source, follower := newReplica(f, clock), newReplica(f, clock)
-		source.Take(Batch{Whole: true, Records: []Record{{Key: "u", Value: []byte("ready"), At: 3}}, Next: 4, Confirmed: now})
+		source.Merge(Batch{Snapshot: true, Records: []Record{{Key: "u", Value: []byte("ready"), Position: 3}}, Next: 4, ConfirmedAt: now})
 		follower.follow(source, now, true)
-		source.Take(Batch{Whole: true, Next: 9, Confirmed: now})
-		source.Take(Batch{Records: []Record{{Key: "u", Value: []byte("back"), At: 9}}, Next: 10, Confirmed: now})
+		source.Merge(Batch{Snapshot: true, Next: 9, ConfirmedAt: now})
+		source.Merge(Batch{Records: []Record{{Key: "u", Value: []byte("back"), Position: 9}}, Next: 10, ConfirmedAt: now})
 		follower.follow(source, now, true)
 		Expect(follower.got).To(Equal(map[string]string{"u": "back"}))
-		follower.Take(Batch{Whole: true, Next: 9, Confirmed: now})
+		follower.Merge(Batch{Snapshot: true, Next: 9, ConfirmedAt: now})
 		Expect(follower.got).To(Equal(map[string]string{"u": "back"}), "an older reading does not end it")
 	})
 
@@ -178,7 +178,7 @@
 	for _, r := range w.records {
 		newest[r.Key] = r
 	}
-	b := Batch{Whole: true, Next: w.at(len(w.records)), Confirmed: w.now}
+	b := Batch{Snapshot: true, Next: w.at(len(w.records)), ConfirmedAt: w.now}
 	for _, r := range newest {
 		if r.Value != nil {
 			b.Records = append(b.Records, r)
@@ -191,10 +191,10 @@
 func (w *world) read(r *replica) {
 	next, started := r.Position()
 	if !started || next.Era() != w.era || next < w.at(w.first) {
-		r.Take(w.whole())
+		r.Merge(w.whole())
 		return
 	}
-	r.Take(Batch{Records: append([]Record(nil), w.records[next.Offset():]...), Next: w.at(len(w.records)), Confirmed: w.now})
+	r.Merge(Batch{Records: append([]Record(nil), w.records[next.Offset():]...), Next: w.at(len(w.records)), ConfirmedAt: w.now})
 }
 
 // at is the position of an offset in the era of now.
@@ -209,7 +209,7 @@
 	w.era++
 	w.records, w.first = slices.Clone(w.records[:n]), min(w.first, n)
 	for i := range w.records {
-		w.records[i].At = w.at(i)
+		w.records[i].Position = w.at(i)
 	}
 }
 
@@ -232,7 +232,7 @@
 	case "read":
 		w.read(r)
 	case "whole":
-		r.Take(w.whole())
+		r.Merge(w.whole())
 	case "follow":
 		o := w.other(t, n)
 		w.did = append(w.did, fmt.Sprint("of ", o))
@@ -249,15 +249,15 @@
 		w.late, w.lateTo = &b, r
 	case "answer":
 		if w.late != nil {
-			w.lateTo.Take(*w.late)
+			w.lateTo.Merge(*w.late)
 			w.late = nil
 		}
 	}
 }
 
 func (w *world) write(key string, value []byte) {
-	r := Record{Key: key, Value: value, At: w.at(len(w.records))}
-	w.did = append(w.did, fmt.Sprintf("%s=%s@%s", key, value, r.At))
+	r := Record{Key: key, Value: value, Position: w.at(len(w.records))}
+	w.did = append(w.did, fmt.Sprintf("%s=%s@%s", key, value, r.Position))
 	w.records = append(w.records, r)
 }
 
--- a/internal/records/entry.go
+++ b/internal/records/entry.go
@@ -46,7 +46,7 @@
 	case len(e.Value) < packFrom:
 	case hasBefore && e.before.Value != nil:
 		e.patch = packOnce(e.patch, e.Value, e.before.Value, l)
-		t.packed, t.patched, t.base = e.patch, true, e.before.At
+		t.packed, t.patched, t.base = e.patch, true, e.before.Position
 	default:
 		e.packed = packOnce(e.packed, e.Value, nil, l)
 		t.packed = e.packed
--- a/internal/records/era_test.go
+++ b/internal/records/era_test.go
@@ -38,24 +38,24 @@
 	var l *Log
 	BeforeEach(func() {
 		l = NewLog(versions(&got), facts.New(time.Now), time.Now, quiet)
-		l.Take(Batch{Whole: true, Records: []Record{{Key: "config", Value: []byte("5"), At: 6}}, Next: 7, Confirmed: time.Now()})
+		l.Merge(Batch{Snapshot: true, Records: []Record{{Key: "config", Value: []byte("5"), Position: 6}}, Next: 7, ConfirmedAt: time.Now()})
 	})
 
 	DescribeTable("does not go back where the store comes back from an older copy, and rises from there", func(older ...Record) {
-		l.Take(Batch{Whole: true, Records: older, Next: inEra(1, 3), Confirmed: time.Now()})
+		l.Merge(Batch{Snapshot: true, Records: older, Next: inEra(1, 3), ConfirmedAt: time.Now()})
 		Expect(got).To(Equal("5"))
 		next, _ := l.Position()
 		Expect(next).To(Equal(inEra(1, 3)))
-		l.Take(Batch{Records: []Record{{Key: "config", Value: []byte("5"), At: inEra(1, 3)}}, Next: inEra(1, 4), Confirmed: time.Now()})
+		l.Merge(Batch{Records: []Record{{Key: "config", Value: []byte("5"), Position: inEra(1, 3)}}, Next: inEra(1, 4), ConfirmedAt: time.Now()})
 		Expect(got).To(Equal("5"))
-		l.Take(Batch{Records: []Record{{Key: "config", Value: []byte("8"), At: inEra(1, 4)}}, Next: inEra(1, 5), Confirmed: time.Now()})
+		l.Merge(Batch{Records: []Record{{Key: "config", Value: []byte("8"), Position: inEra(1, 4)}}, Next: inEra(1, 5), ConfirmedAt: time.Now()})
 		Expect(got).To(Equal("8"))
 	},
-		Entry("with an older value", Record{Key: "config", Value: []byte("2"), At: 1<<40 + 1}),
+		Entry("with an older value", Record{Key: "config", Value: []byte("2"), Position: 1<<40 + 1}),
 		Entry("that lacks the key"))
 
 	It("takes a newer value at the very offset of the one held", func() {
-		l.Take(Batch{Whole: true, Records: []Record{{Key: "config", Value: []byte("8"), At: inEra(1, 6)}}, Next: inEra(1, 9), Confirmed: time.Now()})
+		l.Merge(Batch{Snapshot: true, Records: []Record{{Key: "config", Value: []byte("8"), Position: inEra(1, 6)}}, Next: inEra(1, 9), ConfirmedAt: time.Now()})
 		Expect(got).To(Equal("8"))
 	})
 })
@@ -66,15 +66,15 @@
 	var l *Log
 	clock := func() time.Time { return now }
 	take := func(whole bool, next id.Position, records ...Record) {
-		l.Take(Batch{Whole: whole, Records: records, Next: next, Confirmed: now, Own: true, Steady: true})
+		l.Merge(Batch{Snapshot: whole, Records: records, Next: next, ConfirmedAt: now, FromStore: true, Uninterrupted: true})
 	}
-	entry := func(value string, at id.Position) Record { return Record{Key: "u", Value: []byte(value), At: at} }
+	entry := func(value string, at id.Position) Record { return Record{Key: "u", Value: []byte(value), Position: at} }
 	BeforeEach(func() {
 		now = time.Unix(1000, 0)
 		f = facts.New(clock)
-		l = NewLog(Topic{Name: "up", Upstreams: true, Apply: func(r Record) error {
+		l = NewLog(Topic{Name: "up", KeysAreUpstreams: true, Apply: func(r Record) error {
 			if r.Value != nil {
-				f.SetInstance(&facts.Instance{ID: "u", Address: "a", Seen: r.At, Leaving: string(r.Value) == "leaving"})
+				f.SetInstance(&facts.Instance{ID: "u", Address: "a", Seen: r.Position, Leaving: string(r.Value) == "leaving"})
 			}
 			return nil
 		}}, f, clock, quiet)
@@ -112,10 +112,10 @@
 
 	It("has the grace also at a follower that had fresh records all the time", func() {
 		source := newReplica(f, clock)
-		source.Take(Batch{Whole: true, Records: []Record{entry("ready", 3)}, Next: 9, Confirmed: now})
+		source.Merge(Batch{Snapshot: true, Records: []Record{entry("ready", 3)}, Next: 9, ConfirmedAt: now})
 		follower := &replica{Log: l}
 		follower.follow(source, now, true)
-		source.Take(Batch{Whole: true, Next: inEra(1, 2), Confirmed: now})
+		source.Merge(Batch{Snapshot: true, Next: inEra(1, 2), ConfirmedAt: now})
 		follower.follow(source, now, true)
 		Expect(f.Instances()).To(HaveLen(1))
 		next, _ := l.Position()
@@ -136,15 +136,15 @@
 	It("reads all again ever more rarely where no position that it is given can be read on from", func() {
 		var whole atomic.Int32
 		run(&Store{
-			Answers: answers,
-			Newest: func(_ context.Context, topic string, _ Progress) ([]Record, id.Position, error) {
+			Probe: answers,
+			Snapshot: func(_ context.Context, topic string, _ Progress) ([]Record, id.Position, error) {
 				if topic == "op" {
 					whole.Add(1)
 				}
 				return nil, 5, nil
 			},
-			Read: func(context.Context, string, id.Position, time.Duration) (Reading, error) {
-				return Reading{}, platform.ErrExpired
+			Read: func(context.Context, string, id.Position, time.Duration) (ReadResult, error) {
+				return ReadResult{}, platform.ErrExpired
 			},
 		}, 3*time.Second)
 		Expect(whole.Load()).To(BeNumerically("<=", 5))
@@ -159,18 +159,18 @@
 			era.Store(2)
 		}()
 		next := run(&Store{
-			Answers: answers,
-			Newest: func(context.Context, string, Progress) ([]Record, id.Position, error) {
+			Probe: answers,
+			Snapshot: func(context.Context, string, Progress) ([]Record, id.Position, error) {
 				calls.Add(1)
 				return nil, at(), nil
 			},
-			Read: func(ctx context.Context, _ string, _ id.Position, wait time.Duration) (Reading, error) {
+			Read: func(ctx context.Context, _ string, _ id.Position, wait time.Duration) (ReadResult, error) {
 				calls.Add(1)
 				select {
 				case <-ctx.Done():
 				case <-time.After(max(wait, 20*time.Millisecond)):
 				}
-				return Reading{Next: at(), End: at()}, nil
+				return ReadResult{Next: at(), End: at()}, nil
 			},
 		}, 2500*time.Millisecond)
 		Expect(next).To(Equal(inEra(3, 5)))
--- a/internal/records/follow.go
+++ b/internal/records/follow.go
@@ -274,7 +274,7 @@
 // listed says whether the list of upstreams has been read.
 func (f *Follower) listed() bool {
 	for _, l := range f.logs {
-		if l.topic.Upstreams {
+		if l.topic.KeysAreUpstreams {
 			_, ok := l.Position()
 			return ok
 		}
--- a/internal/records/follow_test.go
+++ b/internal/records/follow_test.go
@@ -74,7 +74,7 @@
 var _ = Describe("an answer of a source", func() {
 	It("is refused where a topic is missing, another one or of an impossible age", func() {
 		f := facts.New(time.Now)
-		follower := &Follower{logs: []*Log{NewLog(Topic{Name: "a"}, f, time.Now, quiet), NewLog(Topic{Name: "b", Upstreams: true}, f, time.Now, quiet)}, vars: new(expvar.Map)}
+		follower := &Follower{logs: []*Log{NewLog(Topic{Name: "a"}, f, time.Now, quiet), NewLog(Topic{Name: "b", KeysAreUpstreams: true}, f, time.Now, quiet)}, vars: new(expvar.Map)}
 		good := []*pb.TopicChanges{{Topic: "a"}, {Topic: "b"}}
 		Expect(follower.check(&pb.FollowResponse{Topics: good})).To(Succeed())
 		slow := []*pb.TopicChanges{{Topic: "a", AgeMs: freshMost.Milliseconds() + 1}, {Topic: "b"}}
@@ -107,7 +107,7 @@
 		Expect(f.sound([]string{"silent", "stale"})).To(Equal("stale"))
 		now = now.Add(blameFor)
 		Expect(f.sound([]string{"silent"})).To(Equal("silent"))
-		l.Take(Batch{Whole: true, Own: true, Next: 1, Confirmed: now})
+		l.Merge(Batch{Snapshot: true, FromStore: true, Next: 1, ConfirmedAt: now})
 		f.blame("own", errOwn)
 		now = now.Add(staleFor + time.Millisecond)
 		Expect(f.sound([]string{"own"})).To(BeEmpty(), "this process has fresh records, and hands them to that one")
@@ -121,7 +121,7 @@
 		f := facts.New(time.Now)
 		l := NewLog(Topic{Name: "t"}, f, time.Now, quiet)
 		if started {
-			l.Take(Batch{Whole: true, Next: 4, Confirmed: time.Now()})
+			l.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: time.Now()})
 		}
 		order, _ := Sources("d", []string{"a", "b", "c"}, "")
 		return &Follower{
@@ -152,16 +152,16 @@
 		f := facts.New(time.Now)
 		t := Topic{Name: "t", Apply: func(Record) error { return nil }}
 		first, second := NewLog(t, f, time.Now, quiet), NewLog(t, f, time.Now, quiet)
-		long := Record{Key: "config", Value: make([]byte, 100<<10), At: 1}
+		long := Record{Key: "config", Value: make([]byte, 100<<10), Position: 1}
 		for _, l := range []*Log{first, second} {
-			l.Take(Batch{Whole: true, Records: []Record{long}, Next: 2, Confirmed: time.Now()})
+			l.Merge(Batch{Snapshot: true, Records: []Record{long}, Next: 2, ConfirmedAt: time.Now()})
 		}
-		second.Take(Batch{Records: []Record{{Key: "u", Value: []byte("new"), At: 2}, {Key: "v", At: 3}}, Next: 4, Confirmed: time.Now()})
+		second.Merge(Batch{Records: []Record{{Key: "u", Value: []byte("new"), Position: 2}, {Key: "v", Position: 3}}, Next: 4, ConfirmedAt: time.Now()})
 		next, _ := first.Position()
-		c, _, _ := second.Since(Position{Next: next})
-		Expect(c.Whole).To(BeFalse())
+		c, _, _ := second.ChangesSince(Cursor{Next: next})
+		Expect(c.Snapshot).To(BeFalse())
 		Expect(c.Records).To(HaveLen(2))
-		c, _, _ = second.Since(Position{Next: 1})
-		Expect(c.Whole).To(BeTrue(), "what went before it started is not known to it")
+		c, _, _ = second.ChangesSince(Cursor{Next: 1})
+		Expect(c.Snapshot).To(BeTrue(), "what went before it started is not known to it")
 	})
 })
--- a/internal/records/harness_test.go
+++ b/internal/records/harness_test.go
@@ -47,7 +47,7 @@
 func (s *fakeStore) put(topic, key, value string) {
 	s.lock().Lock()
 	defer s.lock().Unlock()
-	r := Record{Key: key, At: id.Position(len(s.logs[topic]))}
+	r := Record{Key: key, Position: id.Position(len(s.logs[topic]))}
 	if value != "" {
 		r.Value = []byte(value)
 	}
@@ -84,7 +84,7 @@
 
 func (s *fakeStore) store() Store {
 	return Store{
-		Answers: func(_ context.Context, topic string, _ id.Position) error {
+		Probe: func(_ context.Context, topic string, _ id.Position) error {
 			s.lock().Lock()
 			defer s.lock().Unlock()
 			s.calls++
@@ -93,7 +93,7 @@
 			}
 			return nil
 		},
-		Newest: func(_ context.Context, topic string, _ Progress) ([]Record, id.Position, error) {
+		Snapshot: func(_ context.Context, topic string, _ Progress) ([]Record, id.Position, error) {
 			s.lock().Lock()
 			defer s.lock().Unlock()
 			s.count(topic)
@@ -107,13 +107,13 @@
 			l := slices.DeleteFunc(slices.Collect(maps.Values(newest)), func(r Record) bool { return r.Value == nil })
 			return l, id.Position(len(s.logs[topic])), nil
 		},
-		Read: func(ctx context.Context, topic string, from id.Position, wait time.Duration) (Reading, error) {
+		Read: func(ctx context.Context, topic string, from id.Position, wait time.Duration) (ReadResult, error) {
 			until := time.Now().Add(wait)
 			for {
 				s.lock().Lock()
 				if s.down {
 					s.lock().Unlock()
-					return Reading{}, platform.ErrUnavailable
+					return ReadResult{}, platform.ErrUnavailable
 				}
 				l := slices.Clone(s.logs[topic][from:])
 				over := len(l) > 0 || !time.Now().Before(until)
@@ -123,11 +123,11 @@
 				}
 				s.lock().Unlock()
 				if over {
-					return Reading{Records: l, Next: from + id.Position(len(l)), End: from + id.Position(len(l))}, nil
+					return ReadResult{Records: l, Next: from + id.Position(len(l)), End: from + id.Position(len(l))}, nil
 				}
 				select {
 				case <-ctx.Done():
-					return Reading{}, ctx.Err()
+					return ReadResult{}, ctx.Err()
 				case <-time.After(time.Millisecond):
 				}
 			}
@@ -185,7 +185,7 @@
 	}
 	upstream := func(r Record) error {
 		if r.Value != nil {
-			i := &facts.Instance{ID: id.Instance(r.Key), Address: r.Key, Domain: "d", Seen: r.At}
+			i := &facts.Instance{ID: id.Instance(r.Key), Address: r.Key, Domain: "d", Seen: r.Position}
 			if string(r.Value) == serving {
 				i.Held = []facts.Held{{Model: "m", Revision: 1}}
 			}
@@ -195,7 +195,7 @@
 	}
 	with := &Settings{ConfigWait: 50 * time.Millisecond, ListEvery: 20 * time.Millisecond, StartWait: wait}
 	p.Records = New(with, &Platform{
-		Store: way, Operators: Topic{Name: "op", Apply: apply}, Upstreams: Topic{Name: "up", Apply: upstream, Upstreams: true},
+		Store: way, Operators: Topic{Name: "op", Apply: apply}, Upstreams: Topic{Name: "up", Apply: upstream, KeysAreUpstreams: true},
 	}, p.facts, "d", name, time.Now, quiet)
 	p.follower.ask = ask
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/records/log.go
+++ b/internal/records/log.go
@@ -65,7 +65,7 @@
 		topic: t, log: l, now: now, epoch: rand.Uint64() | 1, entries: map[string]*entry{}, changed: make(chan struct{}),
 		skippedLines: rate.NewLimiter(skippedPerSecond, skippedAtOnce), turn: newTurn("", "", now),
 	}
-	if t.Upstreams {
+	if t.KeysAreUpstreams {
 		g.absent = facts.NewAbsences(f, now, l)
 	}
 	return g
@@ -81,72 +81,72 @@
 // Batch is what a source says of a topic.
 type Batch struct {
 	Records []Record
-	// Whole says that the records are all there are.
-	Whole bool
+	// Snapshot says that the records are all there are.
+	Snapshot bool
 	// Next is the offset from which on nothing has been read.
 	Next id.Position
-	// Confirmed is when the store said so.
-	Confirmed time.Time
-	// Settled is a moment at which the store had nothing from Next on: when it was asked, as its answer may have been
+	// ConfirmedAt is when the store said so.
+	ConfirmedAt time.Time
+	// CaughtUpAt is a moment at which the store had nothing from Next on: when it was asked, as its answer may have been
 	// long on its way. Zero where none is known.
-	Settled time.Time
-	// Own says that this process has read it from the store itself, and Steady that it had asked without standing still ever
+	CaughtUpAt time.Time
+	// FromStore says that this process has read it from the store itself, and Uninterrupted that it had asked without standing still ever
 	// since its last good reading.
-	Own, Steady bool
-	// Away is when this process had last asked the store in vain since it had read it; zero where it has not.
-	Away time.Time
-	// Began is when the source had read the topic for the first time; zero where it does not say.
-	Began time.Time
-	// Gapped says that the source has not read record by record from GapFrom on.
-	Gapped  bool
+	FromStore, Uninterrupted bool
+	// LastFailedAt is when this process had last asked the store in vain since it had read it; zero where it has not.
+	LastFailedAt time.Time
+	// FirstReadAt is when the source had read the topic for the first time; zero where it does not say.
+	FirstReadAt time.Time
+	// HasGap says that the source has not read record by record from GapFrom on.
+	HasGap  bool
 	GapFrom id.Position
-	// Returned is the end of the last time in which the source had not had the store.
-	Returned outageEnd
-	// Grace is the end of the time in which keys that are gone may come back.
-	Grace time.Time
+	// OutageEnd is the end of the last time in which the source had not had the store.
+	OutageEnd outageEnd
+	// GraceUntil is the end of the time in which keys that are gone may come back.
+	GraceUntil time.Time
 }
 
-// Take merges a batch. Records older than what is known change nothing. It is false, and nothing is taken, where this
+// Merge merges a batch. Records older than what is known change nothing. It is false, and nothing is taken, where this
 // process has read further itself than its source had before a gap: what it knows of the gap may be over, and the batch
 // can't tell.
-func (l *Log) Take(b Batch) bool {
+func (l *Log) Merge(b Batch) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if b.Gapped && !b.Whole && l.next > b.GapFrom {
+	if b.HasGap && !b.Snapshot && l.next > b.GapFrom {
 		return false
 	}
 	l.outage(b)
 	l.enterEra(b.Next)
 	before := l.changes
 	for _, r := range b.Records {
-		if r.At >= l.next {
+		if r.Position >= l.next {
 			l.bound(&r)
 		}
-		if b.Own && !b.Whole {
+		if b.FromStore && !b.Snapshot {
 			// Read one by one: there is none that was not read.
-			r.Missed = r.After
+			r.UnreadSince = r.After
 		}
-		l.merge(r, b)
+		l.mergeRecord(r, b)
 	}
-	if b.Whole {
+	if b.Snapshot {
 		l.keepOnly(b)
 	}
 	if l.absent != nil {
 		l.absent.Sweep()
 	}
 	switch {
-	case b.Whole && !l.started:
+	case b.Snapshot && !l.started:
 		l.forgottenTo, l.began = b.Next, l.now()
-	case (b.Whole && b.Next > l.next) || b.Gapped:
+	case (b.Snapshot && b.Next > l.next) || b.HasGap:
 		l.skip(b.Next)
 	}
 	l.advance(b)
-	l.started = l.started || b.Whole
-	if b.Own {
+	l.started = l.started || b.Snapshot
+	if b.FromStore {
 		l.own = l.now()
 	}
-	if b.Confirmed.After(l.confirmed) {
-		l.confirmed = b.Confirmed
+	if b.ConfirmedAt.After(l.confirmed) {
+		l.confirmed = b.ConfirmedAt
 	}
 	if l.changes > before {
 		close(l.changed)
@@ -165,42 +165,42 @@
 
 // advance notes how far the store has been read; the caller holds the lock.
 func (l *Log) advance(b Batch) {
-	if b.Next >= l.next && b.Settled.After(l.settled) {
+	if b.Next >= l.next && b.CaughtUpAt.After(l.settled) {
 		// A moment known for an earlier next holds for a later one too.
-		l.settled = b.Settled
+		l.settled = b.CaughtUpAt
 	}
 	l.next = max(l.next, b.Next)
 }
 
-// merge takes a record of a batch; the caller holds the lock.
-func (l *Log) merge(r Record, b Batch) {
+// mergeRecord takes a record of a batch; the caller holds the lock.
+func (l *Log) mergeRecord(r Record, b Batch) {
 	e := l.entries[r.Key]
 	held := e != nil && e.Value != nil
-	current := b.Whole && b.Next >= l.next
+	current := b.Snapshot && b.Next >= l.next
 	version := l.version(r)
 	switch {
 	case held && version < e.version && version > 0:
 		l.late(e, r)
 		return
-	case held && version > e.version && e.version > 0 && r.At != e.At:
+	case held && version > e.version && e.version > 0 && r.Position != e.Position:
 		// Whatever its offset: the newest record of a key need not have the highest number.
 		r.Bracket, _ = dating.Bracket{Had: l.now()}.Merge(r.Bracket)
 		l.change(e, r)
 		return
-	case !held && !current && r.At < l.next:
+	case !held && !current && r.Position < l.next:
 		// A key that is not held was dropped before next: the record is older than that.
 		return
 	case e == nil:
 		e = &entry{}
 		l.entries[r.Key] = e
-	case r.At == e.At && r.Value != nil:
+	case r.Position == e.Position && r.Value != nil:
 		l.date(e, r)
 		return
-	case r.At < e.At:
+	case r.Position < e.Position:
 		return
 	}
-	if r.Value != nil && l.topic.Reduce != nil {
-		r.Value = l.topic.Reduce(r.Value)
+	if r.Value != nil && l.topic.Normalise != nil {
+		r.Value = l.topic.Normalise(r.Value)
 	}
 	r.Bracket, _ = dating.Bracket{Had: l.now()}.Merge(r.Bracket)
 	if e.change == 0 || (r.Value == nil) != (e.Value == nil) || !bytes.Equal(r.Value, e.Value) {
@@ -208,7 +208,7 @@
 		return
 	}
 	r.Bracket = e.Bracket
-	if b.Whole || len(r.Value) >= packFrom {
+	if b.Snapshot || len(r.Value) >= packFrom {
 		// The key may have had another value meanwhile, which a follower has read itself: this one is told as newer. A long
 		// value's offset is what patches build on.
 		l.number(e, r)
@@ -227,10 +227,10 @@
 
 // late tells of a record that was written behind one with a higher number; the caller holds the lock.
 func (l *Log) late(e *entry, r Record) {
-	if r.At <= e.At || r.At < l.next || !l.skippedLines.AllowN(l.now(), 1) {
+	if r.Position <= e.Position || r.Position < l.next || !l.skippedLines.AllowN(l.now(), 1) {
 		return
 	}
-	l.log.Warn().Str("topic", l.topic.Name).Str("key", r.Key).Uint64("offset", r.At.Offset()).Uint64("era", r.At.Era()).Uint64("held_offset", e.At.Offset()).
+	l.log.Warn().Str("topic", l.topic.Name).Str("key", r.Key).Uint64("offset", r.Position.Offset()).Uint64("era", r.Position.Era()).Uint64("held_offset", e.Position.Offset()).
 		Uint64("version", l.version(r)).Uint64("held_version", e.version).Msg("a record names an older version than one before it; passed over")
 }
 
@@ -241,7 +241,7 @@
 	}
 	d, o := e.Merge(r.Bracket)
 	if o == dating.Refused && l.skippedLines.AllowN(l.now(), 1) {
-		l.log.Warn().Str("topic", l.topic.Name).Str("key", e.Key).Uint64("offset", e.At.Offset()).Uint64("era", e.At.Era()).Time("after", r.After).
+		l.log.Warn().Str("topic", l.topic.Name).Str("key", e.Key).Uint64("offset", e.Position.Offset()).Uint64("era", e.Position.Era()).Time("after", r.After).
 			Str("by", r.Origin.By).Stringer("evidence", r.Origin.Evidence).Msg("date of a record refused")
 	}
 	old := e.After
@@ -267,7 +267,7 @@
 	}
 	l.skipped.Add(1)
 	if l.skippedLines.AllowN(l.now(), 1) {
-		l.log.Warn().Err(err).Str("topic", l.topic.Name).Str("key", r.Key).Uint64("offset", r.At.Offset()).Uint64("era", r.At.Era()).
+		l.log.Warn().Err(err).Str("topic", l.topic.Name).Str("key", r.Key).Uint64("offset", r.Position.Offset()).Uint64("era", r.Position.Era()).
 			Int64("skipped", l.skipped.Value()).Msg("record skipped")
 	}
 }
@@ -308,7 +308,7 @@
 func (l *Log) forget() {
 	for k, e := range l.entries {
 		if e.Value == nil {
-			l.forgottenTo = max(l.forgottenTo, e.At+1)
+			l.forgottenTo = max(l.forgottenTo, e.Position+1)
 			delete(l.entries, k)
 		}
 	}
@@ -325,19 +325,19 @@
 		listed[r.Key] = true
 	}
 	for k, e := range l.entries {
-		if listed[k] || e.Value == nil || e.At >= b.Next || l.keeps(e, b.Next) {
+		if listed[k] || e.Value == nil || e.Position >= b.Next || l.keeps(e, b.Next) {
 			continue
 		}
-		l.log.Info().Str("topic", l.topic.Name).Str("key", k).Uint64("offset", e.At.Offset()).Uint64("era", e.At.Era()).Uint64("next", b.Next.Offset()).
+		l.log.Info().Str("topic", l.topic.Name).Str("key", k).Uint64("offset", e.Position.Offset()).Uint64("era", e.Position.Era()).Uint64("next", b.Next.Offset()).
 			Msg("key not among all records any more")
-		l.change(e, Record{Key: k, At: b.Next - 1})
+		l.change(e, Record{Key: k, Position: b.Next - 1})
 	}
 }
 
 // keeps says whether a key stays that a whole list of a later era lacks: a value whose number only rises is written again,
 // and is not taken back until then. The caller holds the lock.
 func (l *Log) keeps(e *entry, next id.Position) bool {
-	return e.version > 0 && e.At.Era() < next.Era()
+	return e.version > 0 && e.Position.Era() < next.Era()
 }
 
 // enterEra notes that the store has come back from an older copy. The upstreams whose entries it lacks may come back, as
@@ -355,7 +355,7 @@
 
 // ageMost is the greatest age at which a source's records of the topic are taken.
 func (l *Log) ageMost() time.Duration {
-	if l.topic.Upstreams {
+	if l.topic.KeysAreUpstreams {
 		return freshMost
 	}
 	return slowMost
@@ -381,7 +381,7 @@
 func (l *Log) valueAt(key string, offset id.Position) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e := l.entries[key]; e != nil && e.At == offset {
+	if e := l.entries[key]; e != nil && e.Position == offset {
 		return e.Value
 	}
 	return nil
--- a/internal/records/log_test.go
+++ b/internal/records/log_test.go
@@ -19,7 +19,7 @@
 
 // newList makes a log of upstreams that puts them into facts.
 func newList(f *facts.Facts, now func() time.Time) *Log {
-	return NewLog(Topic{Name: "t", Upstreams: true, Apply: func(r Record) error {
+	return NewLog(Topic{Name: "t", KeysAreUpstreams: true, Apply: func(r Record) error {
 		if r.Value != nil {
 			f.SetInstance(&facts.Instance{ID: id.Instance(r.Key)})
 		}
@@ -48,10 +48,10 @@
 			source, follower := NewLog(topic(a), f, clock, quiet), NewLog(topic(b), f, clock, quiet)
 			offset, epoch, from := id.Position(0), uint64(0), uint64(0)
 			var written []Record
-			source.Take(Batch{Whole: true, Confirmed: now})
+			source.Merge(Batch{Snapshot: true, ConfirmedAt: now})
 			for range rapid.IntRange(1, 60).Draw(t, "steps") {
 				key := rapid.SampledFrom([]string{"k", "l", "m"}).Draw(t, "key")
-				r := Record{Key: key, At: offset}
+				r := Record{Key: key, Position: offset}
 				if rapid.Bool().Draw(t, "kept") {
 					r.Value = []byte(rapid.SampledFrom([]string{"x", "y", ""}).Draw(t, "value"))
 				}
@@ -61,20 +61,20 @@
 					written = append(written, r)
 					offset++
 				}
-				source.Take(Batch{Records: []Record{r}, Next: offset, Confirmed: now})
+				source.Merge(Batch{Records: []Record{r}, Next: offset, ConfirmedAt: now})
 				if rapid.IntRange(0, 20).Draw(t, "forget") == 0 {
 					source.mu.Lock()
 					source.forget()
 					source.mu.Unlock()
 				}
 				if rapid.Bool().Draw(t, "follows") {
-					c, _, _ := source.Since(Position{Epoch: epoch, From: from})
+					c, _, _ := source.ChangesSince(Cursor{Epoch: epoch, Change: from})
 					var l []Record
 					for _, r := range c.Records {
 						l = append(l, r.Record)
 					}
-					follower.Take(Batch{Records: l, Whole: c.Whole, Next: c.Next, Confirmed: now})
-					epoch, from = source.epoch, c.Last
+					follower.Merge(Batch{Records: l, Snapshot: c.Snapshot, Next: c.Next, ConfirmedAt: now})
+					epoch, from = source.epoch, c.LastChange
 					if len(follower.entries) > 0 && !maps.Equal(a, b) {
 						t.Fatalf("source %v, follower %v", a, b)
 					}
@@ -86,17 +86,17 @@
 	It("does not count a heartbeat as a change", func() {
 		got := map[string]string{}
 		o := topic(got)
-		o.Reduce = func(v []byte) []byte { return v[:1] }
+		o.Normalise = func(v []byte) []byte { return v[:1] }
 		l := NewLog(o, facts.New(time.Now), time.Now, quiet)
-		l.Take(Batch{Whole: true, Records: []Record{{Key: "k", Value: []byte("a1")}}, Next: 1})
-		c, changed, _ := l.Since(Position{Epoch: l.epoch})
-		l.Take(Batch{Records: []Record{{Key: "k", Value: []byte("a2"), At: 1}}, Next: 2})
+		l.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: []byte("a1")}}, Next: 1})
+		c, changed, _ := l.ChangesSince(Cursor{Epoch: l.epoch})
+		l.Merge(Batch{Records: []Record{{Key: "k", Value: []byte("a2"), Position: 1}}, Next: 2})
 		Expect(changed).NotTo(BeClosed())
-		l.Take(Batch{Records: []Record{{Key: "k", Value: []byte("b3"), At: 2}}, Next: 3})
+		l.Merge(Batch{Records: []Record{{Key: "k", Value: []byte("b3"), Position: 2}}, Next: 3})
 		Expect(changed).To(BeClosed())
-		l.Take(Batch{Records: []Record{{Key: "k", Value: []byte("a2"), At: 1}}, Next: 2})
+		l.Merge(Batch{Records: []Record{{Key: "k", Value: []byte("a2"), Position: 1}}, Next: 2})
 		Expect(got).To(Equal(map[string]string{"k": "b"}), "an older record does not come back")
-		c, _, _ = l.Since(Position{Epoch: l.epoch, From: c.Last})
+		c, _, _ = l.ChangesSince(Cursor{Epoch: l.epoch, Change: c.LastChange})
 		Expect(c.Records).To(HaveLen(1))
 	})
 
@@ -104,13 +104,13 @@
 		now := time.Now()
 		f := facts.New(time.Now)
 		l := newList(f, func() time.Time { return now })
-		l.Take(Batch{Whole: true, Records: []Record{{Key: "k", Value: []byte("a")}, {Key: "l", Value: []byte("a")}}, Next: 1, Confirmed: now})
-		l.Lost(errOwn)
-		l.Take(Batch{Records: []Record{{Key: "k", At: 1}}, Next: 2, Confirmed: now, Own: true})
+		l.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: []byte("a")}, {Key: "l", Value: []byte("a")}}, Next: 1, ConfirmedAt: now})
+		l.NoteStoreFailure(errOwn)
+		l.Merge(Batch{Records: []Record{{Key: "k", Position: 1}}, Next: 2, ConfirmedAt: now, FromStore: true})
 		Expect(f.Instance("k")).To(BeNil())
 		now = now.Add(freshMost + time.Millisecond)
-		l.Lost(errOwn)
-		l.Take(Batch{Records: []Record{{Key: "l", At: 2}}, Next: 3, Confirmed: now, Own: true})
+		l.NoteStoreFailure(errOwn)
+		l.Merge(Batch{Records: []Record{{Key: "l", Position: 2}}, Next: 3, ConfirmedAt: now, FromStore: true})
 		Expect(f.Instance("l")).NotTo(BeNil(), "the store was away for all")
 	})
 
@@ -118,12 +118,12 @@
 		now := time.Now()
 		f := facts.New(time.Now)
 		l := newList(f, func() time.Time { return now })
-		l.Take(Batch{Whole: true, Records: []Record{{Key: "k", Value: []byte("a")}}, Next: 1, Confirmed: now})
+		l.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: []byte("a")}}, Next: 1, ConfirmedAt: now})
 		now = now.Add(freshMost + time.Second)
-		l.Take(Batch{Records: []Record{{Key: "k", At: 1}}, Next: 2, Confirmed: now, Grace: now.Add(time.Second)})
+		l.Merge(Batch{Records: []Record{{Key: "k", Position: 1}}, Next: 2, ConfirmedAt: now, GraceUntil: now.Add(time.Second)})
 		Expect(f.Instance("k")).NotTo(BeNil())
 		now = now.Add(2 * time.Second)
-		l.Take(Batch{Next: 2, Confirmed: now})
+		l.Merge(Batch{Next: 2, ConfirmedAt: now})
 		Expect(f.Instance("k")).To(BeNil())
 	})
 
@@ -134,9 +134,9 @@
 		now := time.Now()
 		f := facts.New(time.Now)
 		l := newList(f, func() time.Time { return now })
-		l.Take(Batch{Whole: true, Records: []Record{{Key: "k", Value: []byte("a")}}, Next: 1, Confirmed: now})
+		l.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: []byte("a")}}, Next: 1, ConfirmedAt: now})
 		now = now.Add(freshMost - time.Millisecond)
-		l.Take(Batch{Records: []Record{{Key: "k", At: 1}}, Next: 2, Confirmed: now, Grace: now.Add(2 * time.Second)})
+		l.Merge(Batch{Records: []Record{{Key: "k", Position: 1}}, Next: 2, ConfirmedAt: now, GraceUntil: now.Add(2 * time.Second)})
 		Expect(f.Instance("k")).To(BeNil())
 	})
 
@@ -144,10 +144,10 @@
 		now := time.Now()
 		f := facts.New(time.Now)
 		l := newList(f, func() time.Time { return now })
-		l.Take(Batch{Whole: true, Records: []Record{{Key: "k", Value: []byte("a")}}, Next: 1, Confirmed: now})
+		l.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: []byte("a")}}, Next: 1, ConfirmedAt: now})
 		now = now.Add(freshMost + time.Second)
-		l.Lost(errOwn)
-		l.Take(Batch{Records: []Record{{Key: "k", At: 1}}, Next: 2, Confirmed: now})
+		l.NoteStoreFailure(errOwn)
+		l.Merge(Batch{Records: []Record{{Key: "k", Position: 1}}, Next: 2, ConfirmedAt: now})
 		Expect(f.Instance("k")).To(BeNil())
 	})
 })
@@ -168,29 +168,29 @@
 		f := facts.New(time.Now)
 		t := Topic{Name: "t", Apply: func(Record) error { return nil }}
 		source, follower = NewLog(t, f, time.Now, quiet), NewLog(t, f, time.Now, quiet)
-		source.Take(Batch{Whole: true, Records: []Record{{Key: "k", Value: long(0)}}, Next: 1})
+		source.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: long(0)}}, Next: 1})
 		return source, follower
 	}
 
 	It("is handed on compressed, and as a patch to those that have the one before", func() {
 		source, follower := newPair()
-		c, _, _ := source.Since(Position{})
+		c, _, _ := source.ChangesSince(Cursor{})
 		m := tell("t", c).GetRecords()[0]
 		Expect(len(m.GetValue())).To(BeNumerically("<", len(long(0))/2))
 		Expect(follower.valueOf(m)).To(Equal(long(0)))
-		follower.Take(Batch{Whole: true, Records: []Record{{Key: "k", Value: long(0)}}, Next: 1})
-		source.Take(Batch{Records: []Record{{Key: "k", Value: long(1), At: 1}}, Next: 2})
-		c, _, _ = source.Since(Position{Epoch: source.epoch, From: c.Last})
+		follower.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: long(0)}}, Next: 1})
+		source.Merge(Batch{Records: []Record{{Key: "k", Value: long(1), Position: 1}}, Next: 2})
+		c, _, _ = source.ChangesSince(Cursor{Epoch: source.epoch, Change: c.LastChange})
 		m = tell("t", c).GetRecords()[0]
 		Expect(len(m.GetValue())).To(BeNumerically("<", 2000))
 		Expect(follower.valueOf(m)).To(Equal(long(1)))
-		follower.Take(Batch{Records: []Record{{Key: "k", Value: long(5), At: 5}}, Next: 6})
+		follower.Merge(Batch{Records: []Record{{Key: "k", Value: long(5), Position: 5}}, Next: 6})
 		_, err := follower.valueOf(m)
 		Expect(errors.Is(err, errNoBase)).To(BeTrue())
-		source.Take(Batch{Records: []Record{{Key: "k", Value: long(2), At: 2}}, Next: 3})
-		c, _, _ = source.Since(Position{Epoch: source.epoch, From: 1})
+		source.Merge(Batch{Records: []Record{{Key: "k", Value: long(2), Position: 2}}, Next: 3})
+		c, _, _ = source.ChangesSince(Cursor{Epoch: source.epoch, Change: 1})
 		Expect(tell("t", c).GetRecords()[0].GetPatched()).To(BeFalse(), "the follower lacks the one before")
-		c, _, _ = source.Since(Position{})
+		c, _, _ = source.ChangesSince(Cursor{})
 		Expect(tell("t", c).GetRecords()[0].GetPatched()).To(BeFalse())
 	})
 
@@ -209,40 +209,40 @@
 	var now time.Time
 	var f *facts.Facts
 	var l *Log
-	gone := Batch{Records: []Record{{Key: "k", At: 1}}, Next: 2}
+	gone := Batch{Records: []Record{{Key: "k", Position: 1}}, Next: 2}
 	BeforeEach(func() {
 		now = time.Now()
 		f = facts.New(func() time.Time { return now })
 		l = newList(f, func() time.Time { return now })
-		l.Take(Batch{Whole: true, Records: []Record{{Key: "k", Value: []byte("a")}}, Next: 1, Confirmed: now})
+		l.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: []byte("a")}}, Next: 1, ConfirmedAt: now})
 		now = now.Add(freshMost + time.Second)
 	})
 
 	It("is kept for a while where a call went through after all without an error", func() {
 		b := gone
-		b.Confirmed, b.Settled, b.Own, b.Steady = now, now, true, true
-		l.Take(b)
+		b.ConfirmedAt, b.CaughtUpAt, b.FromStore, b.Uninterrupted = now, now, true, true
+		l.Merge(b)
 		Expect(f.Instance("k")).NotTo(BeNil())
 	})
 
 	It("is gone at once where this process stood still meanwhile, and not the store", func() {
 		b := gone
-		b.Confirmed, b.Settled, b.Own = now, now, true
-		l.Take(b)
+		b.ConfirmedAt, b.CaughtUpAt, b.FromStore = now, now, true
+		l.Merge(b)
 		Expect(f.Instance("k")).To(BeNil())
 	})
 
 	It("is kept for a while where the source has started since, which can't tell", func() {
 		b := gone
-		b.Confirmed, b.Began = now, now.Add(-time.Second)
-		l.Take(b)
+		b.ConfirmedAt, b.FirstReadAt = now, now.Add(-time.Second)
+		l.Merge(b)
 		Expect(f.Instance("k")).NotTo(BeNil())
 	})
 
 	It("is gone at once where the source has read all the time and gives no grace", func() {
 		b := gone
-		b.Confirmed, b.Began = now, now.Add(-time.Hour)
-		l.Take(b)
+		b.ConfirmedAt, b.FirstReadAt = now, now.Add(-time.Hour)
+		l.Merge(b)
 		Expect(f.Instance("k")).To(BeNil())
 	})
 })
@@ -253,21 +253,21 @@
 		t := Topic{Name: "t", Apply: func(Record) error { return nil }}
 		source, follower := NewLog(t, f, time.Now, quiet), NewLog(t, f, time.Now, quiet)
 		long := bytes.Repeat([]byte("abcdefgh"), packFrom)
-		p := Position{Epoch: source.epoch}
+		p := Cursor{Epoch: source.epoch}
 		pass := func() {
-			c, _, _ := source.Since(p)
+			c, _, _ := source.ChangesSince(p)
 			for _, m := range tell("t", c).GetRecords() {
 				v, err := follower.valueOf(m)
 				Expect(err).NotTo(HaveOccurred())
-				follower.Take(Batch{Records: []Record{{Key: m.GetKey(), Value: v, At: id.Position(m.GetOffset())}}, Next: c.Next})
+				follower.Merge(Batch{Records: []Record{{Key: m.GetKey(), Value: v, Position: id.Position(m.GetOffset())}}, Next: c.Next})
 			}
-			p.From = c.Last
+			p.Change = c.LastChange
 		}
-		source.Take(Batch{Whole: true, Records: []Record{{Key: "k", Value: long}}, Next: 1})
+		source.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: long}}, Next: 1})
 		pass()
-		source.Take(Batch{Records: []Record{{Key: "k", Value: long, At: 1}}, Next: 2})
+		source.Merge(Batch{Records: []Record{{Key: "k", Value: long, Position: 1}}, Next: 2})
 		pass()
-		source.Take(Batch{Records: []Record{{Key: "k", Value: append([]byte("new"), long...), At: 2}}, Next: 3})
+		source.Merge(Batch{Records: []Record{{Key: "k", Value: append([]byte("new"), long...), Position: 2}}, Next: 3})
 		pass()
 	})
 })
--- a/internal/records/outage_test.go
+++ b/internal/records/outage_test.go
@@ -81,21 +81,21 @@
 	}
 	inner := d.store.store()
 	d.way = Store{
-		Newest: func(ctx context.Context, topic string, progress Progress) ([]Record, id.Position, error) {
-			l, next, err := inner.Newest(ctx, topic, progress)
+		Snapshot: func(ctx context.Context, topic string, progress Progress) ([]Record, id.Position, error) {
+			l, next, err := inner.Snapshot(ctx, topic, progress)
 			if err == nil {
 				err = d.link.carry(ctx, bytesOf(l), progress)
 			}
 			return l, next, d.lost(err)
 		},
-		Read: func(ctx context.Context, topic string, from id.Position, wait time.Duration) (Reading, error) {
+		Read: func(ctx context.Context, topic string, from id.Position, wait time.Duration) (ReadResult, error) {
 			a, err := inner.Read(ctx, topic, from, wait)
 			if err == nil {
 				err = d.link.carry(ctx, bytesOf(a.Records), func(int) {})
 			}
 			return a, d.lost(err)
 		},
-		Answers: inner.Answers,
+		Probe: inner.Probe,
 	}
 	d.configure(size)
 	d.store.put("up", "10.0.0.1:8000", serving)
@@ -140,26 +140,26 @@
 // add makes a process that knows the gateways of its domain.
 func (d *domain) add(name string, wait time.Duration) {
 	way := d.way
-	way.Answers = func(ctx context.Context, topic string, from id.Position) error {
+	way.Probe = func(ctx context.Context, topic string, from id.Position) error {
 		if d.turnsAway(ctx, name) {
 			return platform.ErrBusy
 		}
-		return d.way.Answers(ctx, topic, from)
+		return d.way.Probe(ctx, topic, from)
 	}
-	way.Read = func(ctx context.Context, topic string, from id.Position, wait time.Duration) (Reading, error) {
+	way.Read = func(ctx context.Context, topic string, from id.Position, wait time.Duration) (ReadResult, error) {
 		if d.turnsAway(ctx, name) {
-			return Reading{}, platform.ErrBusy
+			return ReadResult{}, platform.ErrBusy
 		}
 		return d.way.Read(ctx, topic, from, wait)
 	}
-	way.Newest = func(ctx context.Context, topic string, progress Progress) ([]Record, id.Position, error) {
+	way.Snapshot = func(ctx context.Context, topic string, progress Progress) ([]Record, id.Position, error) {
 		if d.turnsAway(ctx, name) {
 			return nil, 0, platform.ErrBusy
 		}
 		if err := d.pass(ctx, name); err != nil {
 			return nil, 0, err
 		}
-		return d.way.Newest(ctx, topic, func(n int) {
+		return d.way.Snapshot(ctx, topic, func(n int) {
 			if d.pass(ctx, name) == nil {
 				progress(n)
 			}
@@ -346,8 +346,8 @@
 		var after time.Time
 		var looked time.Time
 		store := s.store()
-		answers := store.Answers
-		store.Answers = func(ctx context.Context, topic string, from id.Position) error {
+		answers := store.Probe
+		store.Probe = func(ctx context.Context, topic string, from id.Position) error {
 			mu.Lock()
 			defer mu.Unlock()
 			if looked.IsZero() {
@@ -366,7 +366,7 @@
 				}
 				return nil
 			}},
-			Upstreams: Topic{Name: "up", Apply: func(Record) error { return nil }, Upstreams: true},
+			Upstreams: Topic{Name: "up", Apply: func(Record) error { return nil }, KeysAreUpstreams: true},
 		}, f, "d", "self", time.Now, quiet)
 		p.follower.ask = func(ctx context.Context, address string, q *pb.FollowRequest) (*pb.FollowResponse, error) {
 			if address != "a" {
@@ -422,8 +422,8 @@
 		s.put("up", "u", "here")
 		l := &link{perSecond: int(longRecord / longTakes.Seconds())}
 		way := s.store()
-		way.Newest = func(ctx context.Context, topic string, progress Progress) ([]Record, id.Position, error) {
-			r, next, err := s.store().Newest(ctx, topic, progress)
+		way.Snapshot = func(ctx context.Context, topic string, progress Progress) ([]Record, id.Position, error) {
+			r, next, err := s.store().Snapshot(ctx, topic, progress)
 			if err != nil {
 				return nil, 0, err
 			}
@@ -443,7 +443,7 @@
 		add := func(name, domain string) *Records {
 			apply := func(Record) error { return nil }
 			r := New(&Settings{ConfigWait: 50 * time.Millisecond, ListEvery: 20 * time.Millisecond, Seeds: seeds}, &Platform{
-				Store: way, Operators: Topic{Name: "op", Apply: apply}, Upstreams: Topic{Name: "up", Apply: apply, Upstreams: true},
+				Store: way, Operators: Topic{Name: "op", Apply: apply}, Upstreams: Topic{Name: "up", Apply: apply, KeysAreUpstreams: true},
 			}, facts.New(time.Now), id.Domain(domain), name, time.Now, quiet)
 			r.follower.ask = ask
 			mu.Lock()
--- a/internal/records/part.go
+++ b/internal/records/part.go
@@ -59,13 +59,13 @@
 	kernel.Register(kernel.Part{
 		Name:    PartName,
 		Section: PartName,
-		Needs:   []string{facts.PartName, rpc.PartName, PlatformPart, traffic.PartName},
+		Needs:   []string{facts.PartName, rpc.PartName, PlatformPartName, traffic.PartName},
 		Settings: func() kernel.Section {
 			return &Settings{ConfigWait: 700 * time.Millisecond, ListEvery: 700 * time.Millisecond}
 		},
 		New: func(h *kernel.Host) (any, error) {
 			r := h.Part(rpc.PartName).(*rpc.Server)
-			s := New(h.Section(PartName).(*Settings), h.Part(PlatformPart).(*Platform), h.Part(facts.PartName).(*facts.Facts),
+			s := New(h.Section(PartName).(*Settings), h.Part(PlatformPartName).(*Platform), h.Part(facts.PartName).(*facts.Facts),
 				h.Identity.Domain, r.Address(), clock.Now, h.Log)
 			s.follower.ask = func(ctx context.Context, address string, q *pb.FollowRequest) (*pb.FollowResponse, error) {
 				return r.Records(address).Follow(ctx, q)
--- a/internal/records/reader.go
+++ b/internal/records/reader.go
@@ -81,7 +81,7 @@
 			r.whole, r.prompt = true, false
 			r.failed++
 			r.tried = began
-			r.log.Lost(err)
+			r.log.NoteStoreFailure(err)
 			r.rest(ctx, r.tryPause())
 		case more:
 		case r.pause > 0:
@@ -108,9 +108,9 @@
 	r.stood = r.stood || r.now().Sub(began) > d+restMost
 }
 
-// SameEra returns nil where an answer is of the era of a position that has been read to, platform.ErrExpired where it is of
+// CheckEra returns nil where an answer is of the era of a position that has been read to, platform.ErrExpired where it is of
 // a later one, and platform.ErrUnavailable where it is of an earlier one, which comes late.
-func SameEra(got, asked id.Position) error {
+func CheckEra(got, asked id.Position) error {
 	switch {
 	case got.Era() > asked.Era():
 		return trace.Wrap(platform.ErrExpired, "the store is in era %d, read up to era %d", got.Era(), asked.Era())
@@ -168,7 +168,7 @@
 		r.count("no answer")
 		return false, err
 	}
-	if err := SameEra(a.Next, next); err != nil {
+	if err := CheckEra(a.Next, next); err != nil {
 		r.count("another era")
 		return false, err
 	}
@@ -180,14 +180,14 @@
 	r.dateWoken(b.Records, asked, wait)
 	more = a.End > a.Next
 	if more {
-		b.Confirmed = time.Time{}
+		b.ConfirmedAt = time.Time{}
 	}
 	if heard, _ := r.facts.Hearing(); more || (r.wait > 0 && heard > a.Next) {
 		// The store has more, or does not show yet what others have read: nothing is known of what comes after Next.
-		b.Settled = time.Time{}
+		b.CaughtUpAt = time.Time{}
 	}
 	r.own()
-	r.log.Take(b)
+	r.log.Merge(b)
 	r.heard(a.Next)
 	return more, nil
 }
@@ -249,7 +249,7 @@
 // batch is what an answer says that was asked for at a moment.
 func (r *Reader) batch(asked time.Time, wait time.Duration) Batch {
 	now := r.now()
-	b := Batch{Confirmed: now, Settled: asked, Away: r.tried, Own: true, Steady: !r.stood && !r.prompt && now.Sub(asked) <= wait+callMost}
+	b := Batch{ConfirmedAt: now, CaughtUpAt: asked, LastFailedAt: r.tried, FromStore: true, Uninterrupted: !r.stood && !r.prompt && now.Sub(asked) <= wait+callMost}
 	r.prompt, r.absent = false, false
 	return b
 }
@@ -272,7 +272,7 @@
 		}
 		r.count("look after a failure")
 		next, _ := l.Position()
-		if err := r.store.Answers(ctx, l.topic.Name, next); err != nil {
+		if err := r.store.Probe(ctx, l.topic.Name, next); err != nil {
 			return err
 		}
 	}
@@ -299,20 +299,20 @@
 // restart takes the newest record of each key; keys that are not among them have gone.
 func (r *Reader) restart(ctx context.Context) error {
 	asked := r.now()
-	l, next, err := r.store.Newest(ctx, r.log.topic.Name, r.log.turn.progress)
+	l, next, err := r.store.Snapshot(ctx, r.log.topic.Name, r.log.turn.progress)
 	if err != nil {
 		return err
 	}
 	held, _ := r.log.Position()
-	if err := SameEra(next, held); errors.Is(err, platform.ErrUnavailable) {
+	if err := CheckEra(next, held); errors.Is(err, platform.ErrUnavailable) {
 		return err
 	}
 	r.noteSlow(r.now().Sub(asked), 0, l, 0)
 	r.whole, r.failed = false, 0
 	b := r.batch(asked, 0)
-	b.Records, b.Whole, b.Next = l, true, next
+	b.Records, b.Snapshot, b.Next = l, true, next
 	r.own()
-	r.log.Take(b)
+	r.log.Merge(b)
 	r.heard(next)
 	return nil
 }
--- a/internal/records/service.go
+++ b/internal/records/service.go
@@ -99,13 +99,13 @@
 	}
 	has := false
 	for i, l := range s.logs {
-		at := Position{Epoch: q.GetEpoch()}
+		at := Cursor{Epoch: q.GetEpoch()}
 		for _, p := range q.GetPositions() {
 			if p.GetTopic() == l.topic.Name {
-				at.From, at.Next = p.GetFrom(), id.Position(p.GetNext())
+				at.Change, at.Next = p.GetFrom(), id.Position(p.GetNext())
 			}
 		}
-		c, next, started := l.Since(at)
+		c, next, started := l.ChangesSince(at)
 		changed[i] = next
 		t := &pb.TopicChanges{Topic: l.topic.Name, AgeMs: c.Age.Milliseconds()}
 		if started {
@@ -124,17 +124,17 @@
 
 func tell(topic string, c Changes) *pb.TopicChanges {
 	t := &pb.TopicChanges{
-		Topic: topic, Whole: c.Whole, From: c.Last, Next: uint64(c.Next), AgeMs: c.Age.Milliseconds(), GraceMs: c.Grace.Milliseconds(),
-		SettledMs: millisUp(c.Settled), ReturnedMs: millisUp(c.Returned), BeganMs: millisUp(c.Began), Digest: &c.Digest,
-		ReturnedNext: uint64(c.ReturnedNext),
+		Topic: topic, Whole: c.Snapshot, From: c.LastChange, Next: uint64(c.Next), AgeMs: c.Age.Milliseconds(), GraceMs: c.Grace.Milliseconds(),
+		SettledMs: millisUp(c.CaughtUpAge), ReturnedMs: millisUp(c.OutageEndAge), BeganMs: millisUp(c.FirstReadAge), Digest: &c.Digest,
+		ReturnedNext: uint64(c.OutageOffset),
 	}
-	if c.Gapped {
+	if c.HasGap {
 		from := uint64(c.GapFrom)
 		t.GapFrom = &from
 	}
 	for _, r := range c.Records {
 		m := &pb.RelayedRecord{
-			Key: r.Key, Value: r.Value, Dropped: r.Value == nil, Offset: uint64(r.At),
+			Key: r.Key, Value: r.Value, Dropped: r.Value == nil, Offset: uint64(r.Position),
 			AbsentMs: millisUp(r.absent), HadMs: millisDown(r.had), Origin: r.Origin.Tell(),
 		}
 		if r.packed != nil {
--- a/internal/records/start_test.go
+++ b/internal/records/start_test.go
@@ -102,7 +102,7 @@
 	DescribeTable("takes a peer only where no gateway will do", func(known []string, started bool, want string) {
 		gateways = known
 		if started {
-			f.logs[0].Take(Batch{Whole: true, Next: 1, Confirmed: time.Now()})
+			f.logs[0].Merge(Batch{Snapshot: true, Next: 1, ConfirmedAt: time.Now()})
 		}
 		a, _ := f.choose()
 		Expect(a).To(Equal(want))
@@ -117,7 +117,7 @@
 
 	It("believes a peer longer than a gateway, as it follows one in its turn", func() {
 		old := &pb.FollowResponse{Topics: []*pb.TopicChanges{{Topic: "op", AgeMs: slowMost.Milliseconds() - 1}}}
-		f.logs[0].topic.Upstreams = true
+		f.logs[0].topic.KeysAreUpstreams = true
 		Expect(f.check(old)).To(MatchError(errStale))
 		f.viaPeer = true
 		Expect(f.check(old)).To(Succeed())
@@ -129,14 +129,14 @@
 	// process knew nobody and had the list, and read the operators' records from the store three times until it looked
 	// again.
 	It("stays closed where the list has come only after this process looked for somebody to follow", func() {
-		list := NewLog(Topic{Name: "up", Upstreams: true}, facts.New(time.Now), time.Now, quiet)
+		list := NewLog(Topic{Name: "up", KeysAreUpstreams: true}, facts.New(time.Now), time.Now, quiet)
 		f := &Follower{
 			logs: []*Log{NewLog(Topic{Name: "op"}, facts.New(time.Now), time.Now, quiet), list}, self: "self", domain: "d",
 			gate: &gate{}, long: &gate{}, origin: newOrigin("self", time.Now), hint: newHint(time.Now), now: time.Now, log: quiet,
 			blamed: map[string]time.Time{}, behind: map[string]time.Time{}, lacking: map[string]time.Time{}, gateways: func() []string { return nil },
 		}
 		f.peers = func() []string {
-			list.Take(Batch{Whole: true, Next: 1, Confirmed: time.Now()})
+			list.Merge(Batch{Snapshot: true, Next: 1, ConfirmedAt: time.Now()})
 			return nil
 		}
 		f.long.set(false)
@@ -152,7 +152,7 @@
 	It("stays closed until the list has been read, or could not be for a while", func() {
 		now := time.Now()
 		f := &Follower{
-			logs: []*Log{NewLog(Topic{Name: "op"}, facts.New(time.Now), time.Now, quiet), NewLog(Topic{Name: "up", Upstreams: true}, facts.New(time.Now), time.Now, quiet)},
+			logs: []*Log{NewLog(Topic{Name: "op"}, facts.New(time.Now), time.Now, quiet), NewLog(Topic{Name: "up", KeysAreUpstreams: true}, facts.New(time.Now), time.Now, quiet)},
 			gate: &gate{}, long: &gate{}, now: func() time.Time { return now }, lostAt: now, log: quiet,
 		}
 		open := func() bool { return f.long.closed == nil }
@@ -165,7 +165,7 @@
 		f.openGate(false)
 		Expect(open()).To(BeFalse())
 		f.lostAt = now
-		f.logs[1].Take(Batch{Whole: true, Next: 1, Confirmed: now})
+		f.logs[1].Merge(Batch{Snapshot: true, Next: 1, ConfirmedAt: now})
 		f.lookedWithList = f.listed()
 		f.openGate(true)
 		Expect(open()).To(BeTrue())
--- a/internal/records/starter_test.go
+++ b/internal/records/starter_test.go
@@ -14,7 +14,7 @@
 
 // handOn lets a follower that has nothing of a source yet take all that it holds, as it goes over the wire.
 func handOn(source, follower *Log, now time.Time) {
-	c, _, _ := source.Since(Position{Epoch: source.epoch, From: askWhole})
+	c, _, _ := source.ChangesSince(Cursor{Epoch: source.epoch, Change: askWhole})
 	f := &Follower{now: func() time.Time { return now }}
 	taken, err := f.take(follower, tell(source.topic.Name, c), now)
 	Expect(err).NotTo(HaveOccurred())
@@ -34,18 +34,18 @@
 			got = r
 			return nil
 		}}
-		version := Record{Key: "version", Value: []byte("3"), At: 3}
+		version := Record{Key: "version", Value: []byte("3"), Position: 3}
 		source := NewLog(topic, facts.New(clock), clock, quiet)
-		source.Take(Batch{Whole: true, Records: []Record{version}, Next: 4, Confirmed: now, Settled: now, Own: true})
+		source.Merge(Batch{Snapshot: true, Records: []Record{version}, Next: 4, ConfirmedAt: now, CaughtUpAt: now, FromStore: true})
 		now = now.Add(4 * time.Second)
-		source.Lost(platform.ErrUnavailable)
-		source.Take(Batch{Next: 4, Confirmed: now, Settled: now, Away: now, Own: true, Steady: true})
+		source.NoteStoreFailure(platform.ErrUnavailable)
+		source.Merge(Batch{Next: 4, ConfirmedAt: now, CaughtUpAt: now, LastFailedAt: now, FromStore: true, Uninterrupted: true})
 		Expect(source.returned).To(Equal(outageEnd{at: now, next: 4}))
 
 		now = now.Add(time.Second)
 		handOn(source, NewLog(topic, facts.New(clock), clock, quiet), now)
 		Expect(got.Value).To(Equal(version.Value))
-		Expect([]time.Time{got.After, got.Missed}).To(Equal(make([]time.Time, 2)), "nobody knows since when it is there")
+		Expect([]time.Time{got.After, got.UnreadSince}).To(Equal(make([]time.Time, 2)), "nobody knows since when it is there")
 	})
 })
 
@@ -59,12 +59,12 @@
 			got = r
 			return nil
 		}}, facts.New(clock), clock, quiet)
-		l.Take(Batch{Whole: true, Next: 1, Confirmed: now, Settled: now})
+		l.Merge(Batch{Snapshot: true, Next: 1, ConfirmedAt: now, CaughtUpAt: now})
 		now = now.Add(800 * time.Millisecond)
 		r := &Reader{
-			store: &Store{Read: func(_ context.Context, _ string, from id.Position, _ time.Duration) (Reading, error) {
+			store: &Store{Read: func(_ context.Context, _ string, from id.Position, _ time.Duration) (ReadResult, error) {
 				now = now.Add(5 * time.Millisecond)
-				return Reading{Records: []Record{{Key: "version", Value: []byte("3"), At: from}}, Next: from + 1, End: from + 1}, nil
+				return ReadResult{Records: []Record{{Key: "version", Value: []byte("3"), Position: from}}, Next: from + 1, End: from + 1}, nil
 			}},
 			log: l, facts: facts.New(clock), gate: &gate{}, now: clock, own: func() {}, wait: time.Second,
 		}
--- a/internal/records/take.go
+++ b/internal/records/take.go
@@ -120,17 +120,17 @@
 func (f *Follower) take(l *Log, t *pb.TopicChanges, answered time.Time) (bool, error) {
 	now := f.now()
 	b := Batch{
-		Whole: t.GetWhole(), Next: id.Position(t.GetNext()),
-		Confirmed: now.Add(-time.Duration(t.GetAgeMs()) * time.Millisecond),
-		Grace:     now.Add(time.Duration(t.GetGraceMs()) * time.Millisecond),
-		Settled:   before(answered, t.SettledMs),
-		Began:     before(answered, t.BeganMs),
-		Gapped:    t.GapFrom != nil,
-		GapFrom:   id.Position(t.GetGapFrom()),
+		Snapshot: t.GetWhole(), Next: id.Position(t.GetNext()),
+		ConfirmedAt: now.Add(-time.Duration(t.GetAgeMs()) * time.Millisecond),
+		GraceUntil:  now.Add(time.Duration(t.GetGraceMs()) * time.Millisecond),
+		CaughtUpAt:  before(answered, t.SettledMs),
+		FirstReadAt: before(answered, t.BeganMs),
+		HasGap:      t.GapFrom != nil,
+		GapFrom:     id.Position(t.GetGapFrom()),
 	}
 	if n := id.Position(t.GetReturnedNext()); n > 0 {
 		// A source that does not say how far it had read before may have read all of this then.
-		b.Returned = outageEnd{at: before(answered, t.ReturnedMs), next: n}
+		b.OutageEnd = outageEnd{at: before(answered, t.ReturnedMs), next: n}
 	}
 	for _, r := range t.GetRecords() {
 		v, err := l.valueOf(r)
@@ -138,9 +138,9 @@
 			return false, err
 		}
 		d := dating.Bracket{After: before(answered, r.AbsentMs), Had: before(now, r.HadMs), Origin: dating.Told(r.GetOrigin())}
-		b.Records = append(b.Records, Record{Key: r.GetKey(), Value: v, At: id.Position(r.GetOffset()), Bracket: d})
+		b.Records = append(b.Records, Record{Key: r.GetKey(), Value: v, Position: id.Position(r.GetOffset()), Bracket: d})
 	}
-	return l.Take(b), nil
+	return l.Merge(b), nil
 }
 
 // before is the moment an age before another; zero where the age is not known.
--- a/internal/records/told_test.go
+++ b/internal/records/told_test.go
@@ -20,7 +20,7 @@
 	)
 	clock := func() time.Time { return now }
 	record := func(d dating.Bracket) []Record {
-		return []Record{{Key: "version", Value: []byte("3"), At: 4, Bracket: d}}
+		return []Record{{Key: "version", Value: []byte("3"), Position: 4, Bracket: d}}
 	}
 
 	BeforeEach(func() {
@@ -30,30 +30,30 @@
 			got = r
 			return nil
 		}}, facts.New(clock), clock, quiet)
-		l.Take(Batch{Whole: true, Next: 4, Confirmed: now, Settled: now, Own: true})
+		l.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: now, CaughtUpAt: now, FromStore: true})
 		now = now.Add(awayFor + 2*time.Second)
 	})
 
 	It("is dated by the last reading where the store was away for this process alone", func() {
 		l.returned = outageEnd{at: now.Add(-time.Second), next: 4}
-		l.Take(Batch{Records: record(dating.Bracket{Had: last.Add(time.Second)}), Next: 5, Confirmed: now})
-		Expect([]time.Time{got.After, got.Missed}).To(Equal([]time.Time{last, last}))
+		l.Merge(Batch{Records: record(dating.Bracket{Had: last.Add(time.Second)}), Next: 5, ConfirmedAt: now})
+		Expect([]time.Time{got.After, got.UnreadSince}).To(Equal([]time.Time{last, last}))
 		Expect(got.Origin.Evidence).To(Equal(dating.EarlierReading))
 	})
 
 	It("is dated by the last reading where what its source tells contradicts itself", func() {
 		told := dating.Bracket{After: now.Add(-time.Second), Had: now.Add(-2 * time.Second)}
-		l.Take(Batch{Records: record(told), Next: 5, Confirmed: now})
+		l.Merge(Batch{Records: record(told), Next: 5, ConfirmedAt: now})
 		Expect(got.After).To(Equal(last))
 	})
 
 	It("keeps its first date where the same value is written again", func() {
-		l.Take(Batch{Records: record(dating.Bracket{}), Next: 5, Confirmed: now, Settled: now})
+		l.Merge(Batch{Records: record(dating.Bracket{}), Next: 5, ConfirmedAt: now, CaughtUpAt: now})
 		now = now.Add(time.Second)
 		again := record(dating.Bracket{})
-		again[0].At = 5
-		l.Take(Batch{Records: again, Next: 6, Confirmed: now, Settled: now})
-		Expect(l.entries["version"].At).To(Equal(id.Position(5)))
+		again[0].Position = 5
+		l.Merge(Batch{Records: again, Next: 6, ConfirmedAt: now, CaughtUpAt: now})
+		Expect(l.entries["version"].Position).To(Equal(id.Position(5)))
 		Expect(l.entries["version"].After).To(Equal(last))
 	})
 
@@ -72,10 +72,10 @@
 		source := NewLog(Topic{Name: "t", Apply: func(Record) error { return nil }}, facts.New(clock), clock, quiet)
 		read := now.Add(-awayFor - time.Second)
 		back := now
-		source.Take(Batch{Whole: true, Next: 4, Confirmed: read, Settled: read, Own: true})
-		source.Take(Batch{Records: record(dating.Bracket{}), Next: 5, Confirmed: now, Settled: now, Away: back, Own: true, Steady: true})
+		source.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: read, CaughtUpAt: read, FromStore: true})
+		source.Merge(Batch{Records: record(dating.Bracket{}), Next: 5, ConfirmedAt: now, CaughtUpAt: now, LastFailedAt: back, FromStore: true, Uninterrupted: true})
 		now = now.Add(time.Second + 1500*time.Microsecond)
-		c, _, _ := source.Since(Position{Epoch: source.epoch, Next: 4})
+		c, _, _ := source.ChangesSince(Cursor{Epoch: source.epoch, Next: 4})
 		t := tell("t", c)
 		Expect(t.GetReturnedNext()).To(Equal(uint64(4)))
 		Expect([]int64{t.GetRecords()[0].GetHadMs(), t.GetRecords()[0].GetAbsentMs()}).To(Equal([]int64{1001, 1002}), "rounded away from each other")
--- a/internal/records/turn_test.go
+++ b/internal/records/turn_test.go
@@ -259,7 +259,7 @@
 		logs := func(self string) []*Log {
 			l := []*Log{
 				NewLog(Topic{Name: "op", Apply: func(Record) error { return nil }}, facts.New(clock), clock, quiet),
-				NewLog(Topic{Name: "up", Apply: func(Record) error { return nil }, Upstreams: true}, facts.New(clock), clock, quiet),
+				NewLog(Topic{Name: "up", Apply: func(Record) error { return nil }, KeysAreUpstreams: true}, facts.New(clock), clock, quiet),
 			}
 			l[1].epoch = l[0].epoch
 			for _, one := range l {
@@ -282,7 +282,7 @@
 		}
 	})
 	whole := func(l *Log, n int) {
-		l.Take(Batch{Whole: true, Own: true, Next: id.Position(n), Confirmed: now, Settled: now, Records: []Record{{Key: "k", Value: []byte("v"), At: id.Position(n - 1)}}})
+		l.Merge(Batch{Snapshot: true, FromStore: true, Next: id.Position(n), ConfirmedAt: now, CaughtUpAt: now, Records: []Record{{Key: "k", Value: []byte("v"), Position: id.Position(n - 1)}}})
 	}
 	follow := func() error { return f.follow(context.Background(), "source") }
 
@@ -360,7 +360,7 @@
 		whole(source.logs[0], 1)
 		Expect(claim().GetFollow()).To(Equal("source"))
 		now = now.Add(time.Millisecond)
-		source.logs[0].Lost(platform.ErrUnavailable)
+		source.logs[0].NoteStoreFailure(platform.ErrUnavailable)
 		Expect(claim().GetRefused()).To(BeFalse())
 		a, _ := source.hint.get()
 		Expect(a).To(Equal("self"), "it follows the one that reads")
--- a/internal/records/wire_test.go
+++ b/internal/records/wire_test.go
@@ -77,19 +77,19 @@
 		return nil
 	}
 	p.got[r.Key] = string(r.Value)
-	if at := p.fleet.written[r.At]; p.dated == "" && (r.After.After(at) || r.Missed.After(at)) {
-		p.dated = fmt.Sprintf("%s dates %s@%d %v after it was written", p.name, r.Key, r.At, max(r.After.Sub(at), r.Missed.Sub(at)))
+	if at := p.fleet.written[r.Position]; p.dated == "" && (r.After.After(at) || r.UnreadSince.After(at)) {
+		p.dated = fmt.Sprintf("%s dates %s@%d %v after it was written", p.name, r.Key, r.Position, max(r.After.Sub(at), r.UnreadSince.Sub(at)))
 	}
 	return nil
 }
 
 func (w *fleet) write(key, value string) {
-	r := Record{Key: key, At: id.Position(len(w.records))}
+	r := Record{Key: key, Position: id.Position(len(w.records))}
 	if value != "" {
 		r.Value = []byte(value)
 	}
 	w.records, w.written = append(w.records, r), append(w.written, w.now)
-	w.did = append(w.did, fmt.Sprintf("%s=%s@%d", key, value, r.At))
+	w.did = append(w.did, fmt.Sprintf("%s=%s@%d", key, value, r.Position))
 }
 
 func (w *fleet) state() map[string]string {
@@ -112,9 +112,9 @@
 	defer w.tick()
 	next, started := p.log.Position()
 	end := id.Position(len(w.records))
-	b := Batch{Own: true, Next: end, Settled: asked}
+	b := Batch{FromStore: true, Next: end, CaughtUpAt: asked}
 	if whole || !started || next < w.first {
-		b.Whole = true
+		b.Snapshot = true
 		newest := map[string]Record{}
 		for _, r := range w.records {
 			newest[r.Key] = r
@@ -127,18 +127,18 @@
 		return b
 	}
 	if parts && end > next+1 {
-		b.Next, b.Settled = next+1, time.Time{}
+		b.Next, b.CaughtUpAt = next+1, time.Time{}
 	}
 	b.Records = append(b.Records, w.records[next:b.Next]...)
 	return b
 }
 
 func (p *relay) take(b Batch) {
-	if !b.Settled.IsZero() {
-		b.Confirmed = p.fleet.now
+	if !b.CaughtUpAt.IsZero() {
+		b.ConfirmedAt = p.fleet.now
 	}
-	p.log.Take(b)
-	p.other.Take(Batch{Whole: true, Confirmed: p.fleet.now, Own: true, Steady: true})
+	p.log.Merge(b)
+	p.other.Merge(Batch{Snapshot: true, ConfirmedAt: p.fleet.now, FromStore: true, Uninterrupted: true})
 	p.service.origin.setOwn()
 }
 
