--- a/internal/decide/door.go
+++ b/internal/decide/door.go
@@ -16,7 +16,7 @@
 type door struct {
 	play     *play
 	domain   id.Domain
-	desk     *gateway.Desk
+	desk     *gateway.Balancer
 	facts    *facts.Facts
 	tracker  *placement.Tracker
 	offers   *placement.Offers
@@ -34,18 +34,18 @@
 		patience: placement.NewPatience(p.now), random: r, slowness: map[id.Instance]float64{},
 	}
 	count := func() int { return len(p.doors) }
-	rule := placement.BudgetRule{Ratio: settings.RepeatRatio, Slack: settings.RepeatSlack, Window: settings.RepeatWindow}
+	rule := placement.BudgetRule{Ratio: settings.RetryRatio, Slack: settings.RetrySlack, Window: settings.RetryWindow}
 	d.budget = placement.NewBudget(rule, count, p.now)
 	d.facts.SetWanted(model, facts.Naming{Revision: 1, Date: dating.Bracket{After: p.now()}})
-	d.desk = &gateway.Desk{
+	d.desk = &gateway.Balancer{
 		Facts: d.facts, Domain: domain, SwapWithin: seconds(p.scenario.SwapWithin), Now: p.now, Random: func() *rand.Rand { return r },
-		Load: gateway.Load{Tracker: d.tracker, Offers: d.offers, Demand: func(id.Pool) placement.Demand { return d.demand() }, Gateways: count},
+		Load: gateway.LoadSources{Tracker: d.tracker, Offers: d.offers, Demand: func(id.Pool) placement.Demand { return d.demand() }, Gateways: count},
 	}
 	if p.way.bend != nil {
-		d.desk.Bend = func(w *placement.Outlook, l []placement.Candidate) { p.way.bend(d, w, l) }
+		d.desk.AdjustOutlook = func(w *placement.Outlook, l []placement.Candidate) { p.way.bend(d, w, l) }
 	}
 	if p.way.retry != nil {
-		d.desk.Retry = func(room, left time.Duration) time.Duration { return p.way.retry(room, left, r) }
+		d.desk.RetryAfter = func(room, left time.Duration) time.Duration { return p.way.retry(room, left, r) }
 	}
 	return d
 }
@@ -121,7 +121,7 @@
 	}
 	f := &flight{door: d, request: q, route: r, neverRan: true, deadline: p.at + min(patience, r.Timeout)}
 	f.query = gateway.Query{
-		Catalog: p.catalog, Pool: pool, Model: model, Prompt: q.prompt, Arrived: p.now(), Lost: lost, CallerGives: p.now().Add(patience),
+		Catalog: p.catalog, Pool: pool, Model: model, PromptTokens: q.prompt, Arrived: p.now(), ElapsedBefore: lost, CallerDeadline: p.now().Add(patience),
 		Tried: map[id.Instance]bool{},
 	}
 	d.budget.Request(pool)
@@ -138,7 +138,7 @@
 	f.query.Attempts = f.sends
 	c, no := d.desk.Choose(&f.query)
 	if no != nil {
-		f.finish(no.Retry)
+		f.finish(no.RetryAfter)
 		return
 	}
 	f.query.Tried[c.Instance] = true
@@ -147,13 +147,13 @@
 		d.offers.Far.Came(pool)
 	}
 	f.sends++
-	s := &send{flight: f, choice: c, engine: e, mark: d.tracker.Begin(c.Address, f.query.Prompt), at: p.at}
+	s := &send{flight: f, choice: c, engine: e, mark: d.tracker.Begin(c.Address, f.query.PromptTokens), at: p.at}
 	f.send = s
-	s.job = &job{send: s, unread: f.query.Prompt, context: f.query.Prompt, left: f.request.events - f.given}
+	s.job = &job{send: s, unread: f.query.PromptTokens, context: f.query.PromptTokens, left: f.request.events - f.given}
 	if f.sends < f.route.MaxAttempts {
-		s.stall = p.after(gateway.FirstStall(c.Predicted), s.stalled)
+		s.stall = p.after(gateway.HedgeDelay(c.Predicted), s.stalled)
 	}
-	if by := d.desk.BeginBy(model, c.Revision); !by.IsZero() {
+	if by := d.desk.BeginDeadline(model, c.Revision); !by.IsZero() {
 		s.begin = p.on(p.since(by), s.versionOver)
 	}
 	p.after(p.between(d.domain, s.engine.domain), func() { s.engine.take(s.job) })
@@ -164,7 +164,7 @@
 	if f.over || f.sends >= f.route.MaxAttempts || f.door.play.at >= f.deadline {
 		return false
 	}
-	if !gateway.Repeatable(f.route, len(f.query.Tried), notRun, f.query.HeadSent) {
+	if !gateway.Retryable(f.route, len(f.query.Tried), notRun, f.query.HeadSent) {
 		return false
 	}
 	return f.sends == 0 || f.door.budget.Take(pool)
--- a/internal/decide/send.go
+++ b/internal/decide/send.go
@@ -74,7 +74,7 @@
 
 // resume has a stream that broke off continued elsewhere: what the caller has is read there with the prompt.
 func (f *flight) resume() {
-	f.query.Prompt = f.request.prompt + float64(f.given*f.door.play.scenario.Engine.Stride)
+	f.query.PromptTokens = f.request.prompt + float64(f.given*f.door.play.scenario.Engine.Stride)
 	f.failed(false)
 }
 
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -21,7 +21,7 @@
 func (t *attempt) take() *attemptError {
 	f, e := t.flight, t.exchange
 	d := f.gateway.dialect
-	v := d.Verdict(e.StatusCode, e.Header)
+	v := d.ReadResponse(e.StatusCode, e.Header)
 	t.noteUpstream(v)
 	if v.NotRun {
 		_, err := io.Copy(io.Discard, io.LimitReader(e.Body, heldAnswer))
@@ -62,7 +62,7 @@
 	if err != nil {
 		return t.broke("the upstream broke off in its answer")
 	}
-	if f.gateway.dialect.Promise(e.StatusCode) {
+	if f.gateway.dialect.PromisesNotRun(e.StatusCode) {
 		// The upstream says "not run" in its status and does not prove it: passed on, it would be our promise.
 		t.whole = true
 		return &attemptError{text: "the upstream answered " + strconv.Itoa(e.StatusCode) + " without proof"}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -20,8 +20,8 @@
 	refusedRetry = 250 * time.Millisecond
 )
 
-// FirstStall is how long a first event that was predicted after a time may take before another upstream is asked.
-func FirstStall(predicted time.Duration) time.Duration {
+// HedgeDelay is how long a first event that was predicted after a time may take before another upstream is asked.
+func HedgeDelay(predicted time.Duration) time.Duration {
 	return 2*predicted + firstStall
 }
 
@@ -33,7 +33,7 @@
 	}
 	t := f.begin(ctx, c)
 	defer t.end()
-	t.watch(FirstStall(c.Predicted))
+	t.watch(HedgeDelay(c.Predicted))
 	p = t.send()
 	if p == nil {
 		p = t.take()
@@ -54,7 +54,7 @@
 	}
 	f.attempts++
 	t := &attempt{
-		flight: f, choice: c, mark: g.load.Tracker.Begin(c.Address, f.ask.Prompt), permit: f.permit, parent: ctx,
+		flight: f, choice: c, mark: g.load.Tracker.Begin(c.Address, f.ask.PromptTokens), permit: f.permit, parent: ctx,
 		attempts: f.attempts, eventsBefore: f.events.passed, lastByte: g.now(), position: f.position(),
 	}
 	t.ctx, t.stop = context.WithCancelCause(ctx)
@@ -99,11 +99,11 @@
 func (f *flight) message(c placement.Choice) *upconn.Request {
 	r := f.request
 	h := passOn(r.Header)
-	s := Send{Instance: c.Instance, Organisation: f.org, Left: f.deadline.Sub(f.gateway.now()), After: f.events.last}
+	s := ForwardMeta{Instance: c.Instance, Organisation: f.org, Timeout: f.deadline.Sub(f.gateway.now()), LastEventID: f.events.last}
 	if f.headSent || f.gateway.facts.Required(f.ask.Model, f.gateway.settings.SwapWithin-swapMargin) > 0 {
 		s.Revision = c.Revision
 	}
-	f.gateway.dialect.Prepare(h, s)
+	f.gateway.dialect.PrepareHeader(h, s)
 	return &upconn.Request{
 		Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: h, Body: f.body, Rest: f.rest, Length: r.ContentLength,
 		Born: c.Born, May: func(dialled time.Duration) bool { return f.may(c, dialled) },
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -45,7 +45,7 @@
 	for d := range domains {
 		demand.Raise(id.Domain(fmt.Sprint(d)), placement.Offered{First: 40})
 	}
-	load := Load{
+	load := LoadSources{
 		Tracker: t, Offers: placement.NewOffers(clock), Gateways: func() int { return 350 },
 		Demand: func(id.Pool) placement.Demand { return demand },
 	}
@@ -57,7 +57,7 @@
 	for b.Loop() {
 		w := &flight{
 			gateway: g, request: q, arrived: now, catalog: f.Catalog(), route: r, pool: "engines", tried: map[id.Instance]bool{},
-			ask: Ask{Model: "m", Prompt: 900}, deadline: now.Add(6 * time.Second), callerGives: now.Add(6 * time.Second),
+			ask: RequestMeta{Model: "m", PromptTokens: 900}, deadline: now.Add(6 * time.Second), callerGives: now.Add(6 * time.Second),
 		}
 		if c, _ := w.choose(context.Background()); c.Address == "" {
 			b.Fatal("nothing chosen")
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -9,8 +9,8 @@
 )
 
 // desk is what decides on requests, with the gateway's present view.
-func (g *Gateway) desk() *Desk {
-	return &Desk{Facts: g.facts, Load: g.load, Domain: g.domain, SwapWithin: g.settings.SwapWithin, Now: g.now, Random: g.random}
+func (g *Gateway) desk() *Balancer {
+	return &Balancer{Facts: g.facts, Load: g.load, Domain: g.domain, SwapWithin: g.settings.SwapWithin, Now: g.now, Random: g.random}
 }
 
 // mostPermitAsks bounds the upstreams at which a request asks for a permit: each costs a round trip.
@@ -27,21 +27,21 @@
 			if no.Predicted > 0 {
 				f.predicted = no.Predicted
 			}
-			return c, &attemptError{text: no.Why, notRun: true, final: true, retry: no.Retry}
+			return c, &attemptError{text: no.Reason, notRun: true, final: true, retry: no.RetryAfter}
 		}
 		if f.acquire(ctx, &c) {
 			return c, nil
 		}
-		q.Declined[c.Instance] = true
-		q.AskNone = len(q.Declined) >= mostPermitAsks
+		q.PermitDenied[c.Instance] = true
+		q.NoMorePermits = len(q.PermitDenied) >= mostPermitAsks
 	}
 }
 
 // query is the request as the desk sees it.
 func (f *flight) query() *Query {
 	return &Query{
-		Catalog: f.catalog, Pool: f.pool, Model: f.ask.Model, Prompt: f.ask.Prompt, Arrived: f.arrived, Lost: f.lost, CallerGives: f.callerGives,
-		Tried: f.tried, Attempts: f.attempts, Declined: map[id.Instance]bool{}, HeadSent: f.headSent, Revision: f.revision,
+		Catalog: f.catalog, Pool: f.pool, Model: f.ask.Model, PromptTokens: f.ask.PromptTokens, Arrived: f.arrived, ElapsedBefore: f.lost, CallerDeadline: f.callerGives,
+		Tried: f.tried, Attempts: f.attempts, PermitDenied: map[id.Instance]bool{}, HeadSent: f.headSent, Revision: f.revision,
 	}
 }
 
@@ -52,7 +52,7 @@
 	// The request has been counted as an offer, and the upstreams that it was sent to may be there for the next one.
 	q.Tried, q.Attempts = nil, max(1, f.attempts)
 	if _, no := f.gateway.desk().Choose(q); no != nil {
-		return no.Retry
+		return no.RetryAfter
 	}
 	return refusedRetry
 }
--- a/internal/gateway/desk.go
+++ b/internal/gateway/desk.go
@@ -11,37 +11,37 @@
 	"github.com/springrail/springrail/internal/placement"
 )
 
-// Desk decides which upstream a request goes to and who is refused. It knows no network, and time and randomness are seams, so
+// Balancer decides which upstream a request goes to and who is refused. It knows no network, and time and randomness are seams, so
 // that a play in virtual time decides by the same code as a gateway.
-type Desk struct {
+type Balancer struct {
 	Facts      *facts.Facts
-	Load       Load
+	Load       LoadSources
 	Domain     id.Domain
 	SwapWithin time.Duration
 	Now        func() time.Time
 	Random     func() *rand.Rand
-	// Bend changes what a choice rests on, and Retry stands in for placement.RetryAfter; both are nil but in comparisons of
+	// AdjustOutlook changes what a choice rests on, and Retry stands in for placement.RetryAfter; both are nil but in comparisons of
 	// one way to decide with another.
-	Bend  func(w *placement.Outlook, l []placement.Candidate)
-	Retry func(room, left time.Duration) time.Duration
+	AdjustOutlook func(w *placement.Outlook, l []placement.Candidate)
+	RetryAfter    func(room, left time.Duration) time.Duration
 }
 
-// Query is a request as a Desk sees it.
+// Query is a request as a Balancer sees it.
 type Query struct {
-	Catalog *catalog.Catalog
-	Pool    id.Pool
-	Model   id.Model
-	Prompt  float64
-	Arrived time.Time
-	// Lost is the time that the caller has lost before this try, and CallerGives when it gives up.
-	Lost        time.Duration
-	CallerGives time.Time
+	Catalog      *catalog.Catalog
+	Pool         id.Pool
+	Model        id.Model
+	PromptTokens float64
+	Arrived      time.Time
+	// ElapsedBefore is the time that the caller has lost before this try, and CallerGives when it gives up.
+	ElapsedBefore  time.Duration
+	CallerDeadline time.Time
 	// Tried are the upstreams that have had the request, and Attempts how many of them took it.
 	Tried    map[id.Instance]bool
 	Attempts int
-	// Declined are upstreams that gave the request no permit, and AskNone leaves out all that need one.
-	Declined map[id.Instance]bool
-	AskNone  bool
+	// PermitDenied are upstreams that gave the request no permit, and AskNone leaves out all that need one.
+	PermitDenied  map[id.Instance]bool
+	NoMorePermits bool
 	// HeadSent says that the caller has the head of an answer of a Revision.
 	HeadSent bool
 	Revision id.Revision
@@ -53,13 +53,13 @@
 
 // Refusal is why no upstream is to have a request.
 type Refusal struct {
-	Why string
-	// Retry is when the caller may come back, and Predicted the first event that was too late, where there was one.
-	Retry, Predicted time.Duration
+	Reason string
+	// RetryAfter is when the caller may come back, and Predicted the first event that was too late, where there was one.
+	RetryAfter, Predicted time.Duration
 }
 
 // Choose picks the upstream for the next attempt, or says why there is none.
-func (d *Desk) Choose(q *Query) (placement.Choice, *Refusal) {
+func (d *Balancer) Choose(q *Query) (placement.Choice, *Refusal) {
 	s := q.Catalog.Services[q.Pool]
 	if s == nil {
 		return placement.Choice{}, d.noRoom(q, "no such pool", placement.NoUpstreamRetry)
@@ -81,17 +81,17 @@
 }
 
 // chooseEngine picks a model engine, if a place is left there in which the request would begin in time.
-func (d *Desk) chooseEngine(q *Query, e *catalog.Engine, l []placement.Candidate) (placement.Choice, *Refusal) {
+func (d *Balancer) chooseEngine(q *Query, e *catalog.Engine, l []placement.Candidate) (placement.Choice, *Refusal) {
 	m := placement.NewModel(e)
-	passed := q.Lost + d.Now().Sub(q.Arrived)
+	passed := q.ElapsedBefore + d.Now().Sub(q.Arrived)
 	if len(q.Tried) > 0 {
 		// The request has been offered to an upstream already: late is better than not at all.
 		passed = 0
 	}
 	aim := q.Catalog.Aim(q.Pool)
 	w := d.outlook(q, m, e, l, passed, aim)
-	if d.Bend != nil {
-		d.Bend(w, l)
+	if d.AdjustOutlook != nil {
+		d.AdjustOutlook(w, l)
 	}
 	c, ok := placement.Choose(l, q.Tried, w, d.Random())
 	if !ok {
@@ -114,33 +114,33 @@
 }
 
 // noRoom refuses the request before it was sent anywhere; there is expected to be room after a time.
-func (d *Desk) noRoom(q *Query, why string, room time.Duration) *Refusal {
-	left := q.CallerGives.Sub(d.Now())
-	if d.Retry != nil {
-		return &Refusal{Why: why, Retry: d.Retry(room, left)}
+func (d *Balancer) noRoom(q *Query, why string, room time.Duration) *Refusal {
+	left := q.CallerDeadline.Sub(d.Now())
+	if d.RetryAfter != nil {
+		return &Refusal{Reason: why, RetryAfter: d.RetryAfter(room, left)}
 	}
-	return &Refusal{Why: why, Retry: placement.RetryAfter(room, left, d.Random())}
+	return &Refusal{Reason: why, RetryAfter: placement.RetryAfter(room, left, d.Random())}
 }
 
 // noUpstream refuses the request as no upstream may have it. Where limits leave no permit, or upstreams rest, the caller
 // may come back when the next permit is due or the first rest ends.
-func (d *Desk) noUpstream(q *Query, retry time.Duration) *Refusal {
+func (d *Balancer) noUpstream(q *Query, retry time.Duration) *Refusal {
 	why, due := q.decision.due()
-	if why == "" || d.Retry != nil {
+	if why == "" || d.RetryAfter != nil {
 		return d.noRoom(q, "no upstream", retry)
 	}
-	left := q.CallerGives.Sub(d.Now())
-	return &Refusal{Why: why, Retry: placement.RetrySpread(due, left, d.Random())}
+	left := q.CallerDeadline.Sub(d.Now())
+	return &Refusal{Reason: why, RetryAfter: placement.RetrySpread(due, left, d.Random())}
 }
 
 // outlook is what is expected until the next reports come, which are twice as far apart as they are old on the mean.
-func (d *Desk) outlook(q *Query, m placement.Model, e *catalog.Engine, l []placement.Candidate, passed, aim time.Duration) *placement.Outlook {
+func (d *Balancer) outlook(q *Query, m placement.Model, e *catalog.Engine, l []placement.Candidate, passed, aim time.Duration) *placement.Outlook {
 	late := !placement.InTime(0, passed, aim)
-	if q.Attempts == 0 && len(q.Declined) == 0 {
+	if q.Attempts == 0 && len(q.PermitDenied) == 0 {
 		d.Load.Offers.Came(q.Pool, late)
 	}
 	return &placement.Outlook{
-		First:   func(c *placement.Candidate) time.Duration { return m.FirstEvent(c, q.Prompt) },
+		First:   func(c *placement.Candidate) time.Duration { return m.FirstEvent(c, q.PromptTokens) },
 		Fits:    func(c *placement.Candidate) bool { return placement.InTime(m.Admission(c), 0, aim) },
 		Later:   m.Later,
 		Horizon: 2 * placement.MeanAge(l, d.Domain), Prompt: e.UsualPrompt, Demand: d.Load.Demand(q.Pool), Domain: d.Domain, Late: late,
@@ -175,7 +175,7 @@
 var candidateLists = sync.Pool{New: func() any { return &[]placement.Candidate{} }}
 
 // candidates adds the upstreams that may take the request now to a list.
-func (d *Desk) candidates(q *Query, s *catalog.Service, l []placement.Candidate) []placement.Candidate {
+func (d *Balancer) candidates(q *Query, s *catalog.Service, l []placement.Candidate) []placement.Candidate {
 	usual := 0.0
 	var m placement.Model
 	if s.Engine != nil {
@@ -228,7 +228,7 @@
 
 // fits says whether an upstream's version may still take the request: it must begin there before the time of that
 // version is over, and a stream that goes on elsewhere must find the version that it began with.
-func (d *Desk) fits(q *Query, m placement.Model, c *placement.Candidate) bool {
+func (d *Balancer) fits(q *Query, m placement.Model, c *placement.Candidate) bool {
 	if q.Model == "" {
 		return true
 	}
@@ -236,7 +236,7 @@
 		q.decision.out.other++
 		return false
 	}
-	wait := time.Duration(swapCaution * float64(m.FirstEvent(c, q.Prompt)))
+	wait := time.Duration(swapCaution * float64(m.FirstEvent(c, q.PromptTokens)))
 	way, passage := c.Way.Bears(d.Now(), d.SwapWithin)
 	if c.Narrow || d.behind(c) {
 		// What comes of a sudden can't be seen before: a configuration of 0.6 MB took 5 s of a link of 0.46 Mbit/s that had been clear.
@@ -269,19 +269,19 @@
 
 // declined says whether an upstream that needs a permit is not to be asked for one.
 func (q *Query) declined(c *placement.Candidate) bool {
-	return q.AskNone || q.Declined[c.Instance]
+	return q.NoMorePermits || q.PermitDenied[c.Instance]
 }
 
 // behind says whether a VM lacks, by its last report, a configuration that this process has: it comes onto the VM's
 // link at any moment. It is asked at the choice and not as the report comes: a report from before this process had the
 // configuration says nothing of whether the VM has it.
-func (d *Desk) behind(c *placement.Candidate) bool {
+func (d *Balancer) behind(c *placement.Candidate) bool {
 	newest := d.Facts.Catalog()
 	return newest != nil && c.Config > 0 && c.Config < newest.Revision
 }
 
 // serves says whether an upstream holds the model whole, and in which version; a fresh report goes before the list.
-func (d *Desk) serves(q *Query, s *catalog.Service, u *facts.Instance) (id.Revision, bool) {
+func (d *Balancer) serves(q *Query, s *catalog.Service, u *facts.Instance) (id.Revision, bool) {
 	if s.Engine == nil {
 		return 0, true
 	}
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -10,32 +10,32 @@
 	"github.com/springrail/springrail/internal/throttle"
 )
 
-// Ask is what a caller says of its request beside method, path and body.
-type Ask struct {
+// RequestMeta is what a caller says of its request beside method, path and body.
+type RequestMeta struct {
 	Request id.Request
 	// Key is the caller's key, or empty.
 	Key string
-	// Patience is how long the caller waits; 0 where it does not say.
-	Patience time.Duration
-	Model    id.Model
-	// Prompt is in tokens.
-	Prompt float64
+	// Timeout is how long the caller waits; 0 where it does not say.
+	Timeout time.Duration
+	Model   id.Model
+	// PromptTokens is in tokens.
+	PromptTokens float64
 }
 
-// Send is what the gateway tells an upstream.
-type Send struct {
+// ForwardMeta is what the gateway tells an upstream.
+type ForwardMeta struct {
 	Instance     id.Instance
 	Organisation id.Organisation
-	// Left is how long the answer may take.
-	Left time.Duration
+	// Timeout is how long the answer may take.
+	Timeout time.Duration
 	// Revision is the version that must be served; 0 leaves it to the upstream.
 	Revision id.Revision
-	// After is the last event that the caller has; empty for none.
-	After string
+	// LastEventID is the last event that the caller has; empty for none.
+	LastEventID string
 }
 
-// Verdict is what the header of an answer says beside its status.
-type Verdict struct {
+// ResponseMeta is what the header of an answer says beside its status.
+type ResponseMeta struct {
 	// NotRun says that the upstream did not run the request and never will.
 	NotRun bool
 	// Revision is the version that the answer is made with; 0 where it does not say.
@@ -50,18 +50,18 @@
 
 // Dialect translates headers between the product and the platform.
 type Dialect struct {
-	// Read returns what a caller asks.
-	Read func(h http.Header) Ask
-	// Prepare changes a copy of the caller's header into that of a send.
-	Prepare func(h http.Header, s Send)
-	// Verdict reads an upstream's answer.
-	Verdict func(status int, h http.Header) Verdict
-	// Promise says whether a status promises a caller that its request was not run.
-	Promise func(status int) bool
-	// RetryAfter sets when a refused caller may come back.
-	RetryAfter func(h http.Header, d time.Duration)
-	// Echoed says whether an answer belongs to a request.
-	Echoed func(request, answer http.Header) bool
+	// ReadRequest returns what a caller asks.
+	ReadRequest func(h http.Header) RequestMeta
+	// PrepareHeader changes a copy of the caller's header into that of a send.
+	PrepareHeader func(h http.Header, s ForwardMeta)
+	// ReadResponse reads an upstream's answer.
+	ReadResponse func(status int, h http.Header) ResponseMeta
+	// PromisesNotRun says whether a status promises a caller that its request was not run.
+	PromisesNotRun func(status int) bool
+	// SetRetryAfter sets when a refused caller may come back.
+	SetRetryAfter func(h http.Header, d time.Duration)
+	// ResponseMatches says whether an answer belongs to a request.
+	ResponseMatches func(request, answer http.Header) bool
 }
 
 // DialectPart is the name of the part that gives the Dialect.
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -49,33 +49,33 @@
 
 func testDialect() *Dialect {
 	return &Dialect{
-		Read: func(h http.Header) Ask {
+		ReadRequest: func(h http.Header) RequestMeta {
 			ms, _ := strconv.Atoi(h.Get(xWait))
-			return Ask{
+			return RequestMeta{
 				Request: id.Request(h.Get(xRequest)), Key: h.Get(xKey), Model: id.Model(h.Get(xModel)),
-				Patience: time.Duration(ms) * time.Millisecond, Prompt: 100,
+				Timeout: time.Duration(ms) * time.Millisecond, PromptTokens: 100,
 			}
 		},
-		Prepare: func(h http.Header, s Send) {
+		PrepareHeader: func(h http.Header, s ForwardMeta) {
 			h.Del(xKey)
 			h.Set(xInstance, string(s.Instance))
 			h.Set(xOrg, string(s.Organisation))
-			h.Set(xWait, strconv.FormatInt(s.Left.Milliseconds(), 10))
-			if s.After != "" {
-				h.Set(xAfter, s.After)
+			h.Set(xWait, strconv.FormatInt(s.Timeout.Milliseconds(), 10))
+			if s.LastEventID != "" {
+				h.Set(xAfter, s.LastEventID)
 			}
 		},
-		Verdict: func(_ int, h http.Header) Verdict {
+		ReadResponse: func(_ int, h http.Header) ResponseMeta {
 			n, _ := strconv.Atoi(h.Get(xRevision))
 			rest, _ := strconv.Atoi(h.Get(xRest))
-			return Verdict{
+			return ResponseMeta{
 				NotRun: h.Get(xNotRun) != "", Revision: id.Revision(n), Leaving: h.Get(xLeaving) != "",
 				Rest: time.Duration(rest) * time.Millisecond,
 			}
 		},
-		Promise:    func(status int) bool { return status == http.StatusServiceUnavailable },
-		RetryAfter: func(h http.Header, d time.Duration) { h.Set(xRetry, strconv.FormatInt(d.Milliseconds(), 10)) },
-		Echoed:     func(q, a http.Header) bool { return q.Get(xRequest) == a.Get(xRequest) },
+		PromisesNotRun:  func(status int) bool { return status == http.StatusServiceUnavailable },
+		SetRetryAfter:   func(h http.Header, d time.Duration) { h.Set(xRetry, strconv.FormatInt(d.Milliseconds(), 10)) },
+		ResponseMatches: func(q, a http.Header) bool { return q.Get(xRequest) == a.Get(xRequest) },
 	}
 }
 
@@ -105,9 +105,9 @@
 	b := &testbed{facts: f, tracker: placement.NewTracker(now), arrived: map[string][]string{}}
 	dial := (&net.Dialer{Timeout: time.Second}).DialContext
 	quiet := &log.Logger{Level: log.PanicLevel}
-	load := Load{
+	load := LoadSources{
 		Tracker: b.tracker, Offers: placement.NewOffers(time.Now), Gateways: func() int { return 1 },
-		Permits: Permits{Ask: func(context.Context, string, id.Birth) (uint64, bool) { return 1, true }},
+		Permits: PermitClient{Acquire: func(context.Context, string, id.Birth) (uint64, bool) { return 1, true }},
 		Demand:  func(id.Pool) placement.Demand { return placement.Demand{} },
 	}
 	q := unsuspecting()
@@ -362,7 +362,7 @@
 				return nil, io.ErrUnexpectedEOF
 			}
 			return dial(ctx, network, address)
-		}, time.Now, testDialect().Echoed)
+		}, time.Now, testDialect().ResponseMatches)
 		for i := range 20 {
 			a, _, err := b.ask("POST", "/p/", "x", xModel, "m", xRequest, strconv.Itoa(i))
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/gateway/hedge.go
+++ b/internal/gateway/hedge.go
@@ -173,7 +173,7 @@
 // accepted says whether the upstream's answer is one to go on with.
 func (t *attempt) accepted() bool {
 	f, e := t.flight, t.exchange
-	v := f.gateway.dialect.Verdict(e.StatusCode, e.Header)
+	v := f.gateway.dialect.ReadResponse(e.StatusCode, e.Header)
 	t.noteUpstream(v)
 	if v.NotRun {
 		_, err := io.Copy(io.Discard, io.LimitReader(e.Body, heldAnswer))
--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -34,15 +34,15 @@
 	Listen string `toml:"listen"`
 	// SwapWithin is how soon after it was named a version must be the only one in use.
 	SwapWithin time.Duration `toml:"swap_within"`
-	// RepeatRatio, RepeatSlack and RepeatWindow bound what all gateways send beyond the first send of each request.
-	RepeatRatio  float64       `toml:"repeat_ratio"`
-	RepeatSlack  float64       `toml:"repeat_slack"`
-	RepeatWindow time.Duration `toml:"repeat_window"`
+	// RetryRatio, RepeatSlack and RepeatWindow bound what all gateways send beyond the first send of each request.
+	RetryRatio  float64       `toml:"repeat_ratio"`
+	RetrySlack  float64       `toml:"repeat_slack"`
+	RetryWindow time.Duration `toml:"repeat_window"`
 }
 
 // NewSettings returns the defaults.
 func NewSettings() *Settings {
-	return &Settings{SwapWithin: 8 * time.Second, RepeatRatio: 0.2, RepeatSlack: 100, RepeatWindow: 10 * time.Second}
+	return &Settings{SwapWithin: 8 * time.Second, RetryRatio: 0.2, RetrySlack: 100, RetryWindow: 10 * time.Second}
 }
 
 // Check implements kernel.Section.
@@ -50,9 +50,9 @@
 	_, _, err := net.SplitHostPort(s.Listen)
 	c.Require(err == nil, "listen", `an IP number and port such as "127.0.0.1:8080"`)
 	c.Require(s.SwapWithin > 0, "swap_within", "a time above 0")
-	c.Require(s.RepeatRatio >= 0, "repeat_ratio", "a number of 0 or more")
-	c.Require(s.RepeatSlack >= 0, "repeat_slack", "a number of 0 or more")
-	c.Require(s.RepeatWindow >= time.Second, "repeat_window", "a time of at least 1s")
+	c.Require(s.RetryRatio >= 0, "repeat_ratio", "a number of 0 or more")
+	c.Require(s.RetrySlack >= 0, "repeat_slack", "a number of 0 or more")
+	c.Require(s.RetryWindow >= time.Second, "repeat_window", "a time of at least 1s")
 }
 
 func init() {
@@ -88,7 +88,7 @@
 	settings *Settings
 	dialect  *Dialect
 	facts    *facts.Facts
-	load     Load
+	load     LoadSources
 	budget   *placement.Budget
 	patience *placement.Patience
 	pool     *upconn.Pool
@@ -121,8 +121,8 @@
 	d := h.Part(DialectPart).(*Dialect)
 	sub := h.Part(reports.SubscriberPart).(*reports.Subscriber)
 	connect := h.Part(traffic.PartName).(*traffic.Part).Dial(traffic.Requests, dial.New(dialTimeout).DialContext)
-	load := Load{Tracker: sub.Tracker(), Offers: sub.Offers(), Demand: sub.Demand, Gateways: sub.Gateways}
-	load.Permits = Permits{Ask: sub.AskPermit, Named: sub.TellLimit, Ended: sub.TellLimitEnd}
+	load := LoadSources{Tracker: sub.Tracker(), Offers: sub.Offers(), Demand: sub.Demand, Gateways: sub.Gateways}
+	load.Permits = PermitClient{Acquire: sub.AskPermit, ReportLimit: sub.TellLimit, ReportLimitEnd: sub.TellLimitEnd}
 	q := h.Part(quarantine.PartName).(*quarantine.Quarantine)
 	g := New(s, d, h.Part(facts.PartName).(*facts.Facts), load, q, connect, h.Identity.Domain, h.Log)
 	g.listener = l
@@ -132,28 +132,28 @@
 	return g, nil
 }
 
-// Load is what a gateway knows of the load of upstreams and of other gateways.
-type Load struct {
+// LoadSources is what a gateway knows of the load of upstreams and of other gateways.
+type LoadSources struct {
 	Tracker *placement.Tracker
 	Offers  *placement.Offers
 	// Demand is what callers bring to all gateways for a pool.
 	Demand func(p id.Pool) placement.Demand
 	// Gateways returns the number of processes that share the budget for repeats.
 	Gateways func() int
-	Permits  Permits
+	Permits  PermitClient
 }
 
 // New makes a gateway.
-func New(s *Settings, d *Dialect, f *facts.Facts, k Load, q *quarantine.Quarantine,
+func New(s *Settings, d *Dialect, f *facts.Facts, k LoadSources, q *quarantine.Quarantine,
 	connect func(ctx context.Context, network, address string) (net.Conn, error), own id.Domain, l *log.Logger,
 ) *Gateway {
-	rule := placement.BudgetRule{Ratio: s.RepeatRatio, Slack: s.RepeatSlack, Window: s.RepeatWindow}
+	rule := placement.BudgetRule{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow}
 	g := &Gateway{
 		settings: s, dialect: d, facts: f, load: k, domain: own, log: l, tally: newTally(), now: clock.Now,
 		suspended: clock.Suspended,
 		budget:    placement.NewBudget(rule, k.Gateways, clock.Now),
 		patience:  placement.NewPatience(clock.Now),
-		pool:      upconn.New(connect, clock.Now, d.Echoed),
+		pool:      upconn.New(connect, clock.Now, d.ResponseMatches),
 		list:      q.List,
 		flights:   newFlights(),
 		random:    func() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) },
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -11,14 +11,14 @@
 	"github.com/springrail/springrail/internal/throttle"
 )
 
-// Permits is the way to the processes beside upstreams that name a limit; function fields so that tests and plays can
+// PermitClient is the way to the processes beside upstreams that name a limit; function fields so that tests and plays can
 // replace each.
-type Permits struct {
-	// Ask asks for a permit, and returns its number, or 0 where there is none, and whether an answer came before the context ended.
-	Ask func(ctx context.Context, address string, born id.Birth) (permit uint64, answered bool)
-	// Named tells a limit that an answer named, and Ended the permit of a request whose answer named none.
-	Named func(address string, born id.Birth, r throttle.Rate)
-	Ended func(address string, born id.Birth, permit uint64)
+type PermitClient struct {
+	// Acquire asks for a permit, and returns its number, or 0 where there is none, and whether an answer came before the context ended.
+	Acquire func(ctx context.Context, address string, born id.Birth) (permit uint64, answered bool)
+	// ReportLimit tells a limit that an answer named, and Ended the permit of a request whose answer named none.
+	ReportLimit    func(address string, born id.Birth, r throttle.Rate)
+	ReportLimitEnd func(address string, born id.Birth, permit uint64)
 }
 
 const (
@@ -61,7 +61,7 @@
 	ctx, stop := context.WithTimeout(ctx, permitTimeout)
 	defer stop()
 	began := g.now()
-	permit, answered := g.load.Permits.Ask(ctx, c.Address, c.Born)
+	permit, answered := g.load.Permits.Acquire(ctx, c.Address, c.Born)
 	f.asked = g.now().Sub(began)
 	switch {
 	case !answered:
@@ -88,9 +88,9 @@
 	k := f.gateway.load.Permits
 	switch {
 	case w.Said == throttle.Limited:
-		k.Named(t.choice.Address, t.choice.Born, w.Rate)
+		k.ReportLimit(t.choice.Address, t.choice.Born, w.Rate)
 	case w.Said == throttle.Unlimited && t.permit > 0:
-		k.Ended(t.choice.Address, t.choice.Born, t.permit)
+		k.ReportLimitEnd(t.choice.Address, t.choice.Born, t.permit)
 	}
 }
 
--- a/internal/gateway/permit_test.go
+++ b/internal/gateway/permit_test.go
@@ -35,7 +35,7 @@
 	}
 	// answers has questions answered in a way.
 	answers := func(permit uint64, answered bool, took time.Duration) {
-		b.gateway.load.Permits.Ask = func(ctx context.Context, _ string, _ id.Birth) (uint64, bool) {
+		b.gateway.load.Permits.Acquire = func(ctx context.Context, _ string, _ id.Birth) (uint64, bool) {
 			asked.Add(1)
 			s.lost.Add(int64(took))
 			if !answered {
@@ -53,8 +53,8 @@
 		s = &sleeper{}
 		asked.Store(0)
 		b = newTestbedAt(s.now, route(catalog.Unsafe, "engines"))
-		b.gateway.load.Permits.Named = func(string, id.Birth, throttle.Rate) {}
-		b.gateway.load.Permits.Ended = func(string, id.Birth, uint64) {}
+		b.gateway.load.Permits.ReportLimit = func(string, id.Birth, throttle.Rate) {}
+		b.gateway.load.Permits.ReportLimitEnd = func(string, id.Birth, uint64) {}
 		for _, n := range []string{"u", "v", "w", "x"} {
 			b.upstream(n, "engines", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 200, "", "ran") })
 			limit(n)
@@ -102,8 +102,8 @@
 	It("is told to the stager beside the upstream: a limit each time, its end with the permit of the request", func() {
 		b := newTestbed(route(catalog.Unsafe, "engines"))
 		d := testDialect()
-		verdict := d.Verdict
-		d.Verdict = func(status int, h http.Header) Verdict {
+		verdict := d.ReadResponse
+		d.ReadResponse = func(status int, h http.Header) ResponseMeta {
 			v := verdict(status, h)
 			v.Limit = throttle.Parse(h.Get("X-Limit"))
 			return v
@@ -117,10 +117,10 @@
 		}
 		var named []throttle.Rate
 		var ended []uint64
-		b.gateway.load.Permits = Permits{
-			Ask:   func(context.Context, string, id.Birth) (uint64, bool) { return 9, true },
-			Named: func(_ string, _ id.Birth, r throttle.Rate) { named = append(named, r) },
-			Ended: func(_ string, _ id.Birth, permit uint64) { ended = append(ended, permit) },
+		b.gateway.load.Permits = PermitClient{
+			Acquire:        func(context.Context, string, id.Birth) (uint64, bool) { return 9, true },
+			ReportLimit:    func(_ string, _ id.Birth, r throttle.Rate) { named = append(named, r) },
+			ReportLimitEnd: func(_ string, _ id.Birth, permit uint64) { ended = append(ended, permit) },
 		}
 		told(throttle.Told{By: 1})
 		for range 2 {
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -28,7 +28,7 @@
 // flight is one caller's request.
 type flight struct {
 	gateway *Gateway
-	ask     Ask
+	ask     RequestMeta
 	route   *catalog.Route
 	catalog *catalog.Catalog
 	pool    id.Pool
@@ -94,7 +94,7 @@
 	if g.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	f := &flight{gateway: g, request: r, w: w, arrived: g.now(), ask: g.dialect.Read(r.Header), tried: map[id.Instance]bool{}, neverRan: true}
+	f := &flight{gateway: g, request: r, w: w, arrived: g.now(), ask: g.dialect.ReadRequest(r.Header), tried: map[id.Instance]bool{}, neverRan: true}
 	if g.closing.Load() {
 		f.refuse("leaving", leastRetryAfter)
 		return
@@ -154,14 +154,14 @@
 
 func (f *flight) setDeadline() {
 	const never = time.Hour
-	held, patience := f.route.Timeout, f.ask.Patience
+	held, patience := f.route.Timeout, f.ask.Timeout
 	if held <= 0 {
 		held = never
 	}
 	if patience <= 0 {
 		patience = never
 	}
-	f.lost = f.gateway.patience.Lost(f.route.Name, f.ask.Patience)
+	f.lost = f.gateway.patience.Lost(f.route.Name, f.ask.Timeout)
 	f.callerGives = f.arrived.Add(patience)
 	f.deadline = f.arrived.Add(min(held, patience))
 }
@@ -222,14 +222,14 @@
 
 // again says whether the request may be offered to another upstream after a failure.
 func (f *flight) again(ctx context.Context, p *attemptError) bool {
-	if ctx.Err() != nil || p.final || f.gateway.list.Check(f.fingerprint) != quarantine.Pass || !f.attemptsLeft() || !Repeatable(f.route, len(f.tried), p.notRun, f.headSent) {
+	if ctx.Err() != nil || p.final || f.gateway.list.Check(f.fingerprint) != quarantine.Pass || !f.attemptsLeft() || !Retryable(f.route, len(f.tried), p.notRun, f.headSent) {
 		return false
 	}
 	return f.attempts == 0 || f.gateway.budget.Take(f.pool)
 }
 
-// Repeatable says whether what failed at an upstream may be offered to another one, as far as the route and the tries tell.
-func Repeatable(r *catalog.Route, tried int, notRun, headSent bool) bool {
+// Retryable says whether what failed at an upstream may be offered to another one, as far as the route and the tries tell.
+func Retryable(r *catalog.Route, tried int, notRun, headSent bool) bool {
 	switch {
 	case tried > mostTries:
 		return false
@@ -267,7 +267,7 @@
 // refuse promises the caller that the request was not run, and says when to come back.
 func (f *flight) refuse(why string, retry time.Duration) {
 	f.retry = max(retry, leastRetryAfter)
-	f.gateway.dialect.RetryAfter(f.w.Header(), f.retry)
+	f.gateway.dialect.SetRetryAfter(f.w.Header(), f.retry)
 	f.fail(http.StatusServiceUnavailable, why)
 }
 
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -9,7 +9,7 @@
 )
 
 // noteUpstream takes what an answer says of its upstream itself.
-func (t *attempt) noteUpstream(v Verdict) {
+func (t *attempt) noteUpstream(v ResponseMeta) {
 	f := t.flight
 	t.noteLimit(v.Limit)
 	f.upstreamLeaving, f.upstreamRest = v.Leaving, v.Rest
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -54,7 +54,7 @@
 			}
 			return (&net.Dialer{}).DialContext(ctx, network, address)
 		}
-		b.gateway.pool = upconn.New(connect, time.Now, b.gateway.dialect.Echoed)
+		b.gateway.pool = upconn.New(connect, time.Now, b.gateway.dialect.ResponseMatches)
 		Expect(ask("1")).To(Equal(200))
 		Expect(b.runs("1")).To(Equal(1))
 		Expect(b.gateway.tally.vars.Get("held_for_leaving").String()).To(Equal("1"))
@@ -144,7 +144,7 @@
 			}
 			return (&net.Dialer{}).DialContext(ctx, network, address)
 		}
-		b.gateway.pool = upconn.New(connect, time.Now, b.gateway.dialect.Echoed)
+		b.gateway.pool = upconn.New(connect, time.Now, b.gateway.dialect.ResponseMatches)
 		Expect(ask("1").StatusCode).To(Equal(200))
 		Expect(b.runs("1")).To(Equal(1))
 		Expect(b.gateway.tally.vars.Get("held_for_resting").String()).To(Equal("1"))
--- a/internal/gateway/versionend.go
+++ b/internal/gateway/versionend.go
@@ -20,11 +20,11 @@
 // begins it when it wakes, and costs nothing while none does: upstreams that lag behind need not be left out for it in the
 // second half of the time for a swap.
 func (f *flight) beginBy(c placement.Choice) time.Time {
-	return f.gateway.desk().BeginBy(f.ask.Model, c.Revision)
+	return f.gateway.desk().BeginDeadline(f.ask.Model, c.Revision)
 }
 
-// BeginBy is when a request that has not begun on a version by then must be given up; zero where nothing ends.
-func (d *Desk) BeginBy(m id.Model, r id.Revision) time.Time {
+// BeginDeadline is when a request that has not begun on a version by then must be given up; zero where nothing ends.
+func (d *Balancer) BeginDeadline(m id.Model, r id.Revision) time.Time {
 	until := d.Facts.Until(m, r, d.SwapWithin)
 	if until.IsZero() {
 		return until
--- a/internal/gateway/way_test.go
+++ b/internal/gateway/way_test.go
@@ -199,7 +199,7 @@
 	n.reporter = reports.NewReporter(c, "d", n.facts, time.Now, quiet)
 	s := reports.NewSubscriber(udp(), e.link.datagrams(c.LocalAddr().(*net.UDPAddr)), "d", e.facts, time.Now, quiet)
 	e.gateway.load.Tracker = s.Tracker()
-	e.gateway.load.Permits.Ask = s.AskPermit
+	e.gateway.load.Permits.Acquire = s.AskPermit
 	go func() { _ = n.reporter.Run(ctx) }()
 	go func() { _ = s.Run(ctx) }()
 	go func() {
@@ -342,7 +342,7 @@
 		b.gateway.pool = upconn.New(func(ctx context.Context, network, address string) (net.Conn, error) {
 			time.Sleep(swapMargin)
 			return dial(ctx, network, address)
-		}, time.Now, testDialect().Echoed)
+		}, time.Now, testDialect().ResponseMatches)
 		a, _, err := b.ask("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(http.StatusServiceUnavailable))
