--- a/internal/callerapi/handle.go
+++ b/internal/callerapi/handle.go
@@ -213,7 +213,7 @@
 	switch {
 	case err == nil:
 		return outcomeAnswered
-	case errors.Is(err, dispatch.ErrSink):
+	case errors.Is(err, dispatch.ErrCallerGone):
 		return outcomeGone
 	case !started:
 		refuse(w, r.Message.GetRequestId(), problemOf(err))
--- a/internal/callerapi/problem.go
+++ b/internal/callerapi/problem.go
@@ -70,7 +70,7 @@
 	case errors.As(err, &notRun):
 		return problem{
 			status: http.StatusServiceUnavailable, kind: "not_run", text: notRun.Error(), outcome: outcomeNotRun,
-			after: notRun.After,
+			after: notRun.RetryAfter,
 		}
 	default:
 		return problem{
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -24,8 +24,8 @@
 	ErrNotRun = errors.New("the request was not run")
 	// ErrUnknown says that the request may have run, and that no whole answer is there.
 	ErrUnknown = errors.New("the request may have run; its outcome is unknown")
-	// ErrSink says that the caller took no more of the answer.
-	ErrSink = errors.New("the caller took no more of the answer")
+	// ErrCallerGone says that the caller took no more of the answer.
+	ErrCallerGone = errors.New("the caller took no more of the answer")
 )
 
 // PartName is what other parts name in their needs.
@@ -61,7 +61,7 @@
 	Deadline time.Time
 }
 
-// Sink takes an answer as it comes. An error ends the request with ErrSink.
+// Sink takes an answer as it comes. An error ends the request with ErrCallerGone.
 type Sink struct {
 	Head func(h *pb.RunHead) error
 	Data func(b []byte) error
@@ -85,8 +85,8 @@
 
 // NotRun is ErrNotRun with the time after which the caller may come back.
 type NotRun struct {
-	After  time.Duration
-	Detail string
+	RetryAfter time.Duration
+	Detail     string
 }
 
 // Error implements error.
@@ -103,15 +103,15 @@
 const defaultRetry = time.Second
 
 // Run runs a request. A nil error says that the sink has the whole answer. The other outcomes are ErrNotRun (a
-// *NotRun), ErrUnknown and ErrSink.
+// *NotRun), ErrUnknown and ErrCallerGone.
 func (d *Dispatcher) Run(ctx context.Context, r *Request, s Sink) error {
 	ctx, stop := context.WithDeadline(ctx, r.Deadline)
 	defer stop()
 	d.earn()
 	tried := map[id.VM]bool{}
-	last := error(&NotRun{After: defaultRetry, Detail: "no upstream is ready for it"})
+	last := error(&NotRun{RetryAfter: defaultRetry, Detail: "no upstream is ready for it"})
 	if r.Message.GetIdempotencyKey() != "" && !r.Message.GetRepeatable() {
-		last = &NotRun{After: defaultRetry, Detail: "its key's home does not answer; an earlier send may have been run there"}
+		last = &NotRun{RetryAfter: defaultRetry, Detail: "its key's home does not answer; an earlier send may have been run there"}
 	}
 	for range maxAttempts {
 		c, ok := d.choose(r, tried)
@@ -131,7 +131,7 @@
 
 // mayRetry: only what was proved not run or does no harm twice, and of which the caller has seen nothing.
 func (d *Dispatcher) mayRetry(ctx context.Context, r *Request, t *try, err error) bool {
-	if t.started || ctx.Err() != nil || errors.Is(err, ErrSink) {
+	if t.started || ctx.Err() != nil || errors.Is(err, ErrCallerGone) {
 		return false
 	}
 	return errors.Is(err, ErrNotRun) || r.Message.GetRepeatable()
@@ -142,9 +142,9 @@
 	m := r.Message
 	var l []router.Candidate
 	if r.Service != "" {
-		l = d.router.Service(r.Service)
+		l = d.router.ServiceCandidates(r.Service)
 	} else {
-		l = d.router.Model(id.Organisation(m.GetOrganisation()), id.Model(m.GetModel()))
+		l = d.router.ModelCandidates(id.Organisation(m.GetOrganisation()), id.Model(m.GetModel()))
 	}
 	if m.GetIdempotencyKey() != "" && !m.GetRepeatable() {
 		return d.home(r, l, tried)
@@ -155,7 +155,7 @@
 // home returns a key's home if it is among the upstreams that answer.
 func (d *Dispatcher) home(r *Request, l []router.Candidate, tried map[id.VM]bool) (router.Candidate, bool) {
 	m := r.Message
-	v, _ := d.router.HomeOf(id.Organisation(m.GetOrganisation()), id.Model(m.GetModel()), r.Service, m.GetIdempotencyKey())
+	v, _ := d.router.KeyOwner(id.Organisation(m.GetOrganisation()), id.Model(m.GetModel()), r.Service, m.GetIdempotencyKey())
 	for _, c := range l {
 		if c.VM == v && !tried[v] {
 			return c, true
--- a/internal/dispatch/try.go
+++ b/internal/dispatch/try.go
@@ -29,7 +29,7 @@
 	m := proto.CloneOf(t.request.Message)
 	m.Rollout = string(t.candidate.Rollout)
 	m.RemainingMs = time.Until(t.request.Deadline).Milliseconds()
-	done := t.dispatcher.router.Begin(t.candidate.VM)
+	done := t.dispatcher.router.BeginRequest(t.candidate.VM)
 	var load *pb.Load
 	defer func() { done(load) }()
 	ctx, stop := context.WithCancel(ctx)
@@ -64,7 +64,7 @@
 	case *pb.RunResponse_Refused:
 		f := part.Refused
 		after := time.Duration(f.GetRetryAfterMs()) * time.Millisecond
-		return &NotRun{After: after, Detail: f.GetDetail()}
+		return &NotRun{RetryAfter: after, Detail: f.GetDetail()}
 	case *pb.RunResponse_Failed:
 		return t.unknown(part.Failed.GetDetail())
 	case *pb.RunResponse_Head:
@@ -79,7 +79,7 @@
 
 func sinkError(err error) error {
 	if err != nil {
-		return trace.Wrap(ErrSink, "%v", err)
+		return trace.Wrap(ErrCallerGone, "%v", err)
 	}
 	return nil
 }
@@ -96,8 +96,8 @@
 // broken is a connection that failed: not run only if it was never made.
 func (t *try) broken(err error) error {
 	if rpc.NeverConnected(err) && !t.started {
-		t.dispatcher.router.NoConnection(t.candidate.VM)
-		return &NotRun{After: defaultRetry, Detail: "the upstream's VM takes no connection"}
+		t.dispatcher.router.MarkUnreachable(t.candidate.VM)
+		return &NotRun{RetryAfter: defaultRetry, Detail: "the upstream's VM takes no connection"}
 	}
 	return t.unknown("the connection to the upstream's VM broke")
 }
--- a/internal/operatorapi/part.go
+++ b/internal/operatorapi/part.go
@@ -102,7 +102,7 @@
 	v := &Service{
 		state: c.State, changed: c.Changed, submit: c.Submit, timeout: s.ChangeTimeout, events: h.Events, clock: h.Clock,
 		statuses: m.Table.Statuses, moved: m.Table.Changed, vms: m.List.Get, process: r.Process, now: time.Now,
-		open: h.Part(router.PartName).(*router.Router).Open, ready: c.Ready,
+		open: h.Part(router.PartName).(*router.Router).IsOpen, ready: c.Ready,
 		own:      func(q *eventsRequest) []*event { return status.List(h, q) },
 		manifest: manifestReader(f),
 	}
--- a/internal/router/choose.go
+++ b/internal/router/choose.go
@@ -14,19 +14,19 @@
 	Address string
 	// Rollout is the rollout that the upstream serves; empty for a plain service.
 	Rollout id.Rollout
-	// Near is true in the entry's own failure domain.
-	Near bool
+	// Local is true in the entry's own failure domain.
+	Local bool
 	// InFlight is the number of requests that this entry has there.
 	InFlight int
-	// Refusing is true shortly after the VM took no connection.
-	Refusing bool
-	// Reported is the number that the upstream had by its last report, others' included.
-	Reported int
+	// Unreachable is true shortly after the VM took no connection.
+	Unreachable bool
+	// ReportedInFlight is the number that the upstream had by its last report, others' included.
+	ReportedInFlight int
 }
 
 // load estimates how busy a candidate is: the lagging report covers what this entry had there then.
 func (c Candidate) load() int {
-	return max(c.InFlight, c.Reported)
+	return max(c.InFlight, c.ReportedInFlight)
 }
 
 // boundedLoad is the load above the mean, as a factor, beyond which affinity to a prompt prefix gives way.
@@ -60,7 +60,7 @@
 func taking(all []Candidate, tried map[id.VM]bool) []Candidate {
 	var l []Candidate
 	for _, c := range all {
-		if !c.Refusing && !tried[c.VM] {
+		if !c.Unreachable && !tried[c.VM] {
 			l = append(l, c)
 		}
 	}
@@ -76,7 +76,7 @@
 	for _, c := range all {
 		switch {
 		case tried[c.VM]:
-		case c.Near:
+		case c.Local:
 			near = append(near, c)
 		default:
 			far = append(far, c)
@@ -107,8 +107,8 @@
 	return Candidate{}, false
 }
 
-// Home is the one candidate that a request of an idempotency key may go to: entries with the same list agree.
-func Home(all []Candidate, key string) (Candidate, bool) {
+// KeyOwner is the one candidate that a request of an idempotency key may go to: entries with the same list agree.
+func KeyOwner(all []Candidate, key string) (Candidate, bool) {
 	byVM := map[id.VM]Candidate{}
 	var vms []id.VM
 	for _, c := range all {
--- a/internal/router/choose_test.go
+++ b/internal/router/choose_test.go
@@ -21,8 +21,8 @@
 	var l []Candidate
 	for i := range rapid.IntRange(0, 12).Draw(t, "candidates") {
 		l = append(l, Candidate{
-			VM: id.VM(fmt.Sprint(i)), Near: rapid.Bool().Draw(t, "near"),
-			InFlight: rapid.IntRange(0, 50).Draw(t, "in flight"), Reported: rapid.IntRange(0, 50).Draw(t, "reported"),
+			VM: id.VM(fmt.Sprint(i)), Local: rapid.Bool().Draw(t, "near"),
+			InFlight: rapid.IntRange(0, 50).Draw(t, "in flight"), ReportedInFlight: rapid.IntRange(0, 50).Draw(t, "reported"),
 		})
 	}
 	return l
@@ -40,7 +40,7 @@
 					continue
 				}
 				left++
-				if c.Near {
+				if c.Local {
 					near++
 				}
 			}
@@ -49,14 +49,14 @@
 			if ok != (left > 0) {
 				t.Fatalf("%d left, but found is %v", left, ok)
 			}
-			if ok && (tried[c.VM] || near > 0 && !c.Near) {
+			if ok && (tried[c.VM] || near > 0 && !c.Local) {
 				t.Fatalf("chose %+v", c)
 			}
 		})
 	})
 
 	It("leaves a VM alone that took no connection a moment ago, also where it looks idle, unless no other is left", func() {
-		l := []Candidate{{VM: "ended", Near: true, Refusing: true}, {VM: "busy", Near: true, InFlight: 40}, {VM: "far"}}
+		l := []Candidate{{VM: "ended", Local: true, Unreachable: true}, {VM: "busy", Local: true, InFlight: 40}, {VM: "far"}}
 		r := rand.New(rand.NewPCG(1, 2))
 		for range 50 {
 			c, ok := Choose(l, nil, "", r)
@@ -90,9 +90,9 @@
 	It("goes to one home for a key, whatever the order of the list", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			l := drawCandidates(t)
-			a, ok := Home(l, "key")
+			a, ok := KeyOwner(l, "key")
 			rand.New(rand.NewPCG(3, 4)).Shuffle(len(l), func(i, j int) { l[i], l[j] = l[j], l[i] })
-			b, again := Home(l, "key")
+			b, again := KeyOwner(l, "key")
 			if a.VM != b.VM || ok != again || ok != (len(l) > 0) {
 				t.Fatalf("%v and %v", a.VM, b.VM)
 			}
--- a/internal/router/open.go
+++ b/internal/router/open.go
@@ -48,8 +48,8 @@
 	return opened
 }
 
-// Open says whether a failure domain sends traffic to a rollout.
-func (g *Gates) Open(r id.Rollout, d id.Domain) bool {
+// IsOpen says whether a failure domain sends traffic to a rollout.
+func (g *Gates) IsOpen(r id.Rollout, d id.Domain) bool {
 	return g.open[gate{rollout: r, domain: d}]
 }
 
--- a/internal/router/part.go
+++ b/internal/router/part.go
@@ -109,7 +109,7 @@
 		return
 	}
 	d := id.Domain(s.GetVm().GetDomain())
-	c := Candidate{VM: name, Address: s.GetVm().GetAddress(), Near: d == r.domain}
+	c := Candidate{VM: name, Address: s.GetVm().GetAddress(), Local: d == r.domain}
 	if !s.GetVm().GetEngine() {
 		p := id.Pool(s.GetVm().GetPool())
 		v.services[p] = append(v.services[p], c)
@@ -117,31 +117,31 @@
 	}
 	for _, l := range s.GetLive() {
 		c.Rollout = id.Rollout(l.GetRollout())
-		if r.gates.Open(c.Rollout, d) {
+		if r.gates.IsOpen(c.Rollout, d) {
 			k := modelKey{organisation: id.Organisation(l.GetOrganisation()), model: id.Model(l.GetModel())}
 			v.models[k] = append(v.models[k], c)
 		}
 	}
 }
 
-// Model returns the upstreams that serve a model of an organisation.
-func (r *Router) Model(o id.Organisation, m id.Model) []Candidate {
+// ModelCandidates returns the upstreams that serve a model of an organisation.
+func (r *Router) ModelCandidates(o id.Organisation, m id.Model) []Candidate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.loaded(r.view.models[modelKey{organisation: o, model: m}])
 }
 
-// Service returns the upstreams of a plain service.
-func (r *Router) Service(p id.Pool) []Candidate {
+// ServiceCandidates returns the upstreams of a plain service.
+func (r *Router) ServiceCandidates(p id.Pool) []Candidate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.loaded(r.view.services[p])
 }
 
-// HomeOf is the VM that a request of an idempotency key belongs to, among all VMs that the platform lists for the
+// KeyOwner is the VM that a request of an idempotency key belongs to, among all VMs that the platform lists for the
 // service, or for the model's current rollout. It does not look at which of them answer: a key whose home is silent
 // must not move to another VM, as the silent one may have run it.
-func (r *Router) HomeOf(o id.Organisation, m id.Model, service id.Pool, key string) (id.VM, bool) {
+func (r *Router) KeyOwner(o id.Organisation, m id.Model, service id.Pool, key string) (id.VM, bool) {
 	rollout := r.state().Current(o, m)
 	var l []Candidate
 	for _, v := range r.list.Get().GetVms() {
@@ -153,15 +153,15 @@
 			l = append(l, Candidate{VM: id.VM(v.GetId())})
 		}
 	}
-	c, ok := Home(l, string(o)+"/"+key)
+	c, ok := KeyOwner(l, string(o)+"/"+key)
 	return c.VM, ok
 }
 
 func (r *Router) loaded(l []Candidate) []Candidate {
 	out := make([]Candidate, len(l))
 	for i, c := range l {
-		c.InFlight, c.Reported = r.inFlight[c.VM], r.reported[c.VM]
-		c.Refusing = time.Now().Before(r.refusing[c.VM])
+		c.InFlight, c.ReportedInFlight = r.inFlight[c.VM], r.reported[c.VM]
+		c.Unreachable = time.Now().Before(r.refusing[c.VM])
 		out[i] = c
 	}
 	return out
@@ -180,16 +180,16 @@
 	return l
 }
 
-// Open says whether this entry sends traffic to a rollout in a failure domain.
-func (r *Router) Open(name id.Rollout, d id.Domain) bool {
+// IsOpen says whether this entry sends traffic to a rollout in a failure domain.
+func (r *Router) IsOpen(name id.Rollout, d id.Domain) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.gates.Open(name, d)
+	return r.gates.IsOpen(name, d)
 }
 
-// Begin counts a request towards an upstream; the caller calls the result when it has ended, with the load that the
+// BeginRequest counts a request towards an upstream; the caller calls the result when it has ended, with the load that the
 // answer carried or nil.
-func (r *Router) Begin(v id.VM) func(l *pb.Load) {
+func (r *Router) BeginRequest(v id.VM) func(l *pb.Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.inFlight[v]++
@@ -210,8 +210,8 @@
 // about a second that it has ended.
 const refusingFor = time.Second
 
-// NoConnection notes that a VM took no connection.
-func (r *Router) NoConnection(v id.VM) {
+// MarkUnreachable notes that a VM took no connection.
+func (r *Router) MarkUnreachable(v id.VM) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
