--- a/internal/configlog/part.go
+++ b/internal/configlog/part.go
@@ -53,14 +53,14 @@
 	tail     *Tail
 	host     *kernel.Host
 	settings *Settings
-	platform *platform.Platform
+	platform *platform.Client
 	// peers and rank are set by the parts that know the other entries.
 	peers atomic.Pointer[func(ctx context.Context) error]
 	rank  atomic.Pointer[func() int]
 }
 
 func newPart(h *kernel.Host) (any, error) {
-	p := h.Part(platform.PartName).(*platform.Platform)
+	p := h.Part(platform.PartName).(*platform.Client)
 	s := NewStore(h.Clock.Observe)
 	c := &Part{Store: s, host: h, settings: h.Section("config_log").(*Settings), platform: p}
 	c.Changer = NewChanger(s, p.Append)
--- a/internal/configlog/tail.go
+++ b/internal/configlog/tail.go
@@ -78,7 +78,7 @@
 		wait = 0
 	}
 	b, err := t.read(ctx, from, readLimit, wait)
-	if errors.Is(err, platform.ErrExpired) {
+	if errors.Is(err, platform.ErrOffsetExpired) {
 		return t.recover(ctx, b)
 	}
 	if err != nil {
--- a/internal/configlog/tail_test.go
+++ b/internal/configlog/tail_test.go
@@ -58,7 +58,7 @@
 		return b, platform.ErrUnavailable
 	}
 	if from < f.first {
-		return b, platform.ErrExpired
+		return b, platform.ErrOffsetExpired
 	}
 	for o := from; o < b.Next && len(b.Records) < limit; o++ {
 		b.Records = append(b.Records, &pb.LogRecord{Offset: uint64(o), Data: f.records[o-f.first]})
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -59,7 +59,7 @@
 				Id: string(h.Identity.VM), Domain: string(h.Identity.Domain), Role: membership.RoleUpstream,
 				Pool: s.Pool, Engine: s.Engine, Address: r.Address(),
 			}
-			f := New(self, s.Entries, r, h.Part(platform.PartName).(*platform.Platform).VMs,
+			f := New(self, s.Entries, r, h.Part(platform.PartName).(*platform.Client).ListVMs,
 				h.Clock.Observe, h.Log)
 			h.Metric("config_offset", expvar.Func(func() any { return f.State().Offset() }))
 			return f, nil
--- a/internal/measure/newsstore.go
+++ b/internal/measure/newsstore.go
@@ -144,7 +144,7 @@
 	defer s.mu.Unlock()
 	t := s.topics[topic]
 	if int(from) < t.first || int(from) > len(t.records) {
-		return newsAnswer{}, trace.Wrap(platform.ErrExpired)
+		return newsAnswer{}, trace.Wrap(platform.ErrOffsetExpired)
 	}
 	var l []records.Record
 	bytes := 0
--- a/internal/membership/part.go
+++ b/internal/membership/part.go
@@ -44,7 +44,7 @@
 				List:     NewList(),
 				Settings: h.Section("membership").(*Settings),
 				host:     h,
-				platform: h.Part(platform.PartName).(*platform.Platform),
+				platform: h.Part(platform.PartName).(*platform.Client),
 			}, nil
 		},
 	})
@@ -56,11 +56,11 @@
 	List     *List
 	Settings *Settings
 	host     *kernel.Host
-	platform *platform.Platform
+	platform *platform.Client
 }
 
 // Run reads the VM list until the context ends.
 func (p *Part) Run(ctx context.Context) error {
-	p.List.Poll(ctx, p.Settings.ListEvery, p.host.Log, p.platform.VMs)
+	p.List.Poll(ctx, p.Settings.ListEvery, p.host.Log, p.platform.ListVMs)
 	return nil
 }
--- a/internal/operatorapi/part.go
+++ b/internal/operatorapi/part.go
@@ -97,7 +97,7 @@
 	}
 	c := h.Part(configlog.PartName).(*configlog.Part)
 	m := h.Part(membership.PartName).(*membership.Part)
-	f := h.Part(platform.PartName).(*platform.Platform)
+	f := h.Part(platform.PartName).(*platform.Client)
 	r := h.Part(rpc.PartName).(*rpc.Server)
 	v := &Service{
 		state: c.State, changed: c.Changed, submit: c.Submit, timeout: s.ChangeTimeout, events: h.Events, clock: h.Clock,
--- a/internal/operatorapi/service.go
+++ b/internal/operatorapi/service.go
@@ -169,12 +169,12 @@
 }
 
 // manifestReader reads manifests from the store or the origin.
-func manifestReader(p *platform.Platform) func(ctx context.Context, source string) ([]byte, error) {
+func manifestReader(p *platform.Client) func(ctx context.Context, source string) ([]byte, error) {
 	const limit = 8 << 20
 	return func(ctx context.Context, source string) ([]byte, error) {
-		body, err := p.Open(ctx, platform.SourceOrigin, source+"/manifest", 0, -1)
+		body, err := p.OpenObject(ctx, platform.SourceOrigin, source+"/manifest", 0, -1)
 		if err != nil && p.HasStore() {
-			body, err = p.Open(ctx, platform.SourceStore, source+"/manifest", 0, -1)
+			body, err = p.OpenObject(ctx, platform.SourceStore, source+"/manifest", 0, -1)
 		}
 		if err != nil {
 			return nil, err
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -23,10 +23,10 @@
 var (
 	// ErrUnavailable says that the platform gave no answer; the operation may have taken effect.
 	ErrUnavailable = errors.New("the platform gives no answer")
-	// ErrBusy says that the platform refused the operation because of its rate; nothing took effect.
-	ErrBusy = errors.New("the platform is over its rate")
-	// ErrExpired says that records at the asked offset are no longer kept.
-	ErrExpired = errors.New("the log no longer keeps this offset")
+	// ErrRateLimited says that the platform refused the operation because of its rate; nothing took effect.
+	ErrRateLimited = errors.New("the platform is over its rate")
+	// ErrOffsetExpired says that records at the asked offset are no longer kept.
+	ErrOffsetExpired = errors.New("the log no longer keeps this offset")
 	// ErrNotFound says that the store or origin has no such object.
 	ErrNotFound = errors.New("the store has no such object")
 )
@@ -73,15 +73,15 @@
 	})
 }
 
-// Platform is the client of all that the platform gives.
-type Platform struct {
+// Client is the client of all that the platform gives.
+type Client struct {
 	settings *Settings
 	client   *http.Client
 }
 
 // New makes a client.
-func New(s *Settings, c *http.Client) *Platform {
-	return &Platform{settings: s, client: c}
+func New(s *Settings, c *http.Client) *Client {
+	return &Client{settings: s, client: c}
 }
 
 // Batch is what one read of the log returned.
@@ -109,8 +109,8 @@
 	Data   []byte `json:"data"`
 }
 
-// Append adds a record and returns its offset. ErrBusy: nothing was added. ErrUnavailable: it may have been.
-func (p *Platform) Append(ctx context.Context, data []byte) (id.Offset, error) {
+// Append adds a record and returns its offset. ErrRateLimited: nothing was added. ErrUnavailable: it may have been.
+func (p *Client) Append(ctx context.Context, data []byte) (id.Offset, error) {
 	ctx, stop := context.WithTimeout(ctx, answerTimeout)
 	defer stop()
 	var a appendAnswer
@@ -119,7 +119,7 @@
 }
 
 // Read returns records from an offset on, waiting up to wait for the first one.
-func (p *Platform) Read(ctx context.Context, from id.Offset, limit int, wait time.Duration) (Batch, error) {
+func (p *Client) Read(ctx context.Context, from id.Offset, limit int, wait time.Duration) (Batch, error) {
 	ctx, stop := context.WithTimeout(ctx, answerTimeout+wait)
 	defer stop()
 	u := fmt.Sprintf("%s/log/read?from=%d&limit=%d&wait=%s", p.settings.Log, from, limit, wait)
@@ -132,7 +132,7 @@
 		b.Records = append(b.Records, &pb.LogRecord{Offset: r.Offset, Data: r.Data})
 	}
 	if from < b.First {
-		return b, trace.Wrap(ErrExpired, "offset %d, oldest %d", from, b.First)
+		return b, trace.Wrap(ErrOffsetExpired, "offset %d, oldest %d", from, b.First)
 	}
 	return b, nil
 }
@@ -154,8 +154,8 @@
 	VMs     []vmEntry `json:"vms"`
 }
 
-// VMs returns the platform's list, which lags.
-func (p *Platform) VMs(ctx context.Context) (*pb.VMList, error) {
+// ListVMs returns the platform's list, which lags.
+func (p *Client) ListVMs(ctx context.Context) (*pb.VMList, error) {
 	ctx, stop := context.WithTimeout(ctx, answerTimeout)
 	defer stop()
 	var a vmListAnswer
@@ -172,7 +172,7 @@
 	return l, nil
 }
 
-func (p *Platform) call(ctx context.Context, method, url string, body []byte, into any) error {
+func (p *Client) call(ctx context.Context, method, url string, body []byte, into any) error {
 	r, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return trace.Wrap(err)
@@ -196,7 +196,7 @@
 	case http.StatusOK, http.StatusPartialContent:
 		return nil
 	case http.StatusTooManyRequests:
-		return ErrBusy
+		return ErrRateLimited
 	case http.StatusNotFound:
 		return ErrNotFound
 	default:
@@ -214,12 +214,12 @@
 )
 
 // HasStore says whether a weight store is set.
-func (p *Platform) HasStore() bool {
+func (p *Client) HasStore() bool {
 	return p.settings.Store != ""
 }
 
-// Open returns length bytes of an object from an offset on. A negative length takes all.
-func (p *Platform) Open(ctx context.Context, s Source, path string, from, length int64) (io.ReadCloser, error) {
+// OpenObject returns length bytes of an object from an offset on. A negative length takes all.
+func (p *Client) OpenObject(ctx context.Context, s Source, path string, from, length int64) (io.ReadCloser, error) {
 	base := p.settings.Origin + "/origin/"
 	if s == SourceStore {
 		base = p.settings.Store + "/store/"
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -206,7 +206,7 @@
 		case err == nil:
 			started = true
 			continue
-		case errors.Is(err, platform.ErrExpired):
+		case errors.Is(err, platform.ErrOffsetExpired):
 			started = false
 		}
 		kernel.Pause(ctx, retryPause())
--- a/internal/quarantine/keeper_test.go
+++ b/internal/quarantine/keeper_test.go
@@ -120,10 +120,10 @@
 			return records.Reading{}, platform.ErrUnavailable
 		case s.gone:
 			s.mu.Unlock()
-			return records.Reading{}, platform.ErrExpired
+			return records.Reading{}, platform.ErrOffsetExpired
 		case int(from.Offset()) > len(s.records):
 			s.mu.Unlock()
-			return records.Reading{}, platform.ErrExpired
+			return records.Reading{}, platform.ErrOffsetExpired
 		case int(from.Offset()) < len(s.records) || from.Era() < s.era:
 			l, next := s.records[from.Offset():], s.at(len(s.records))
 			s.mu.Unlock()
--- a/internal/records/era_test.go
+++ b/internal/records/era_test.go
@@ -144,7 +144,7 @@
 				return nil, 5, nil
 			},
 			Read: func(context.Context, string, id.Position, time.Duration) (Reading, error) {
-				return Reading{}, platform.ErrExpired
+				return Reading{}, platform.ErrOffsetExpired
 			},
 		}, 3*time.Second)
 		Expect(whole.Load()).To(BeNumerically("<=", 5))
--- a/internal/records/outage_test.go
+++ b/internal/records/outage_test.go
@@ -142,19 +142,19 @@
 	way := d.way
 	way.Answers = func(ctx context.Context, topic string, from id.Position) error {
 		if d.turnsAway(ctx, name) {
-			return platform.ErrBusy
+			return platform.ErrRateLimited
 		}
 		return d.way.Answers(ctx, topic, from)
 	}
 	way.Read = func(ctx context.Context, topic string, from id.Position, wait time.Duration) (Reading, error) {
 		if d.turnsAway(ctx, name) {
-			return Reading{}, platform.ErrBusy
+			return Reading{}, platform.ErrRateLimited
 		}
 		return d.way.Read(ctx, topic, from, wait)
 	}
 	way.Newest = func(ctx context.Context, topic string, progress Progress) ([]Record, id.Position, error) {
 		if d.turnsAway(ctx, name) {
-			return nil, 0, platform.ErrBusy
+			return nil, 0, platform.ErrRateLimited
 		}
 		if err := d.pass(ctx, name); err != nil {
 			return nil, 0, err
--- a/internal/records/reader.go
+++ b/internal/records/reader.go
@@ -71,7 +71,7 @@
 		switch {
 		case ctx.Err() != nil:
 			return
-		case errors.Is(err, platform.ErrExpired) && !r.whole:
+		case errors.Is(err, platform.ErrOffsetExpired) && !r.whole:
 			r.whole = true
 			r.log.missed()
 			r.restExpired(ctx)
@@ -108,12 +108,12 @@
 	r.stood = r.stood || r.now().Sub(began) > d+restMost
 }
 
-// SameEra returns nil where an answer is of the era of a position that has been read to, platform.ErrExpired where it is of
+// SameEra returns nil where an answer is of the era of a position that has been read to, platform.ErrOffsetExpired where it is of
 // a later one, and platform.ErrUnavailable where it is of an earlier one, which comes late.
 func SameEra(got, asked id.Position) error {
 	switch {
 	case got.Era() > asked.Era():
-		return trace.Wrap(platform.ErrExpired, "the store is in era %d, read up to era %d", got.Era(), asked.Era())
+		return trace.Wrap(platform.ErrOffsetExpired, "the store is in era %d, read up to era %d", got.Era(), asked.Era())
 	case got.Era() < asked.Era():
 		return trace.Wrap(platform.ErrUnavailable, "an answer of era %d after one of era %d", got.Era(), asked.Era())
 	}
--- a/internal/transfer/links.go
+++ b/internal/transfer/links.go
@@ -148,7 +148,7 @@
 
 // drawFrom returns what it read also where it fails, so that it can be counted.
 func (m *Manager) drawFrom(ctx context.Context, s platform.Source, path string, from, length int64) ([]byte, error) {
-	body, err := m.platform.Open(ctx, s, path, from, length)
+	body, err := m.platform.OpenObject(ctx, s, path, from, length)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/transfer/part.go
+++ b/internal/transfer/part.go
@@ -75,7 +75,7 @@
 		Settings: func() kernel.Section { return NewSettings() },
 		New: func(h *kernel.Host) (any, error) {
 			return New(h, h.Section("swarm").(*Settings), h.Part(rpc.PartName).(*rpc.Server),
-				h.Part(platform.PartName).(*platform.Platform), h.Part(follow.PartName).(*follow.Follower), 0), nil
+				h.Part(platform.PartName).(*platform.Client), h.Part(follow.PartName).(*follow.Follower), 0), nil
 		},
 	})
 }
@@ -85,7 +85,7 @@
 	host     *kernel.Host
 	settings *Settings
 	rpc      *rpc.Server
-	platform *platform.Platform
+	platform *platform.Client
 	follower *follow.Follower
 	self     swarm.Member
 	seed     uint64
@@ -104,7 +104,7 @@
 }
 
 // New makes a manager. The seed fixes the choices between equals.
-func New(h *kernel.Host, s *Settings, r *rpc.Server, p *platform.Platform, f *follow.Follower, seed uint64) *Manager {
+func New(h *kernel.Host, s *Settings, r *rpc.Server, p *platform.Client, f *follow.Follower, seed uint64) *Manager {
 	m := &Manager{
 		host: h, settings: s, rpc: r, platform: p, follower: f, seed: seed,
 		self:  swarm.Member{VM: h.Identity.VM, Domain: h.Identity.Domain},
