--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -67,7 +67,7 @@
 // end gives back what the attempt holds.
 func (t *attempt) end() {
 	if t.exchange != nil {
-		t.exchange.End(t.whole)
+		t.exchange.Release(t.whole)
 	}
 	if t.versionEnd != nil {
 		t.versionEnd.Stop()
@@ -81,7 +81,7 @@
 	f := t.flight
 	e, err := f.gateway.pool.Send(t.ctx, t.choice.Address, f.message(t.choice))
 	switch {
-	case errors.Is(err, upconn.ErrHeld):
+	case errors.Is(err, upconn.ErrSendDenied):
 		f.attempts--
 		return f.heldBack()
 	case errors.Is(err, upconn.ErrNotSent):
@@ -105,8 +105,8 @@
 	}
 	f.gateway.dialect.Prepare(h, s)
 	return &upconn.Request{
-		Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: h, Body: f.body, Rest: f.rest, Length: r.ContentLength,
-		Born: c.Born, May: func(dialled time.Duration) bool { return f.may(c, dialled) },
+		Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: h, Body: f.body, BodyRest: f.rest, ContentLength: r.ContentLength,
+		Incarnation: c.Born, MaySend: func(dialled time.Duration) bool { return f.may(c, dialled) },
 	}
 }
 
--- a/internal/gateway/broken.go
+++ b/internal/gateway/broken.go
@@ -25,7 +25,7 @@
 		f.gateway.witness.Broke(t.at(), f.presence())
 	case endBrokeOff:
 		t.mark.Failed()
-		f.gateway.pool.Forget(t.choice.Address)
+		f.gateway.pool.CloseIdle(t.choice.Address)
 		f.gateway.witness.Broke(t.at(), f.presence())
 	}
 	return &attemptError{text: text}
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -60,7 +60,7 @@
 // ended says whether an upstream's process has ended: its VM refuses connections. One that is silent may be cut off,
 // frozen or without power, and no request does that.
 func (g *Gateway) ended(ctx context.Context, s quarantine.Start) (ended, known bool) {
-	return g.pool.Refused(ctx, s.Address, s.Born)
+	return g.pool.ProbeRefused(ctx, s.Address, s.Born)
 }
 
 // flights are the requests under way, by fingerprint.
--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -160,7 +160,7 @@
 	}
 	g.witness = quarantine.NewWitness(g.ended, q.Saw, clock.Now)
 	q.List.OnHeld = append(q.List.OnHeld, func(h quarantine.Hold) { g.flights.stop(h.Fingerprint) })
-	g.pool.Dialled = func() { g.tally.add("dialled") }
+	g.pool.OnDial = func() { g.tally.add("dialled") }
 	g.server = &http.Server{
 		Handler: g, ReadHeaderTimeout: headTimeout, IdleTimeout: callerIdle, MaxHeaderBytes: mostHead,
 		ErrorLog: nil,
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -88,7 +88,7 @@
 		s := &sleeper{}
 		b := sleeping(s, long())
 		b.upstream("u", "engines", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 200, "", "ran") })
-		b.gateway.pool.Dialled = func() { s.lost.Store(int64(7 * time.Second)) }
+		b.gateway.pool.OnDial = func() { s.lost.Store(int64(7 * time.Second)) }
 		a, _, err := b.ask("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(http.StatusServiceUnavailable), "it has not run")
--- a/internal/upconn/pool.go
+++ b/internal/upconn/pool.go
@@ -22,8 +22,8 @@
 	idle idle
 	// echoed says whether an answer's header belongs to a request.
 	echoed func(request, answer http.Header) bool
-	// Dialled counts new connections.
-	Dialled func()
+	// OnDial counts new connections.
+	OnDial func()
 }
 
 // New makes a pool. Echoed tells an answer to this request from a late one to another request.
@@ -31,7 +31,7 @@
 	echoed func(request, answer http.Header) bool,
 ) *Pool {
 	return &Pool{
-		dial: dial, now: now, echoed: echoed, idle: idle{conns: map[string][]*conn{}}, Dialled: func() {},
+		dial: dial, now: now, echoed: echoed, idle: idle{conns: map[string][]*conn{}}, OnDial: func() {},
 	}
 }
 
@@ -50,33 +50,33 @@
 const maxStray = 4
 
 // Send sends a request to an address and returns the head of the answer. The context's end breaks the connection, and
-// with it the upstream's work. Errors are ErrNotSent, ErrHeld or ErrBroken.
+// with it the upstream's work. Errors are ErrNotSent, ErrSendDenied or ErrOutcomeUnknown.
 func (p *Pool) Send(ctx context.Context, address string, r *Request) (*Exchange, error) {
 	asked := p.now()
-	c := p.idle.take(address, r.Born, asked)
+	c := p.idle.take(address, r.Incarnation, asked)
 	if c == nil {
-		fresh, err := p.connect(ctx, address, r.Born)
+		fresh, err := p.connect(ctx, address, r.Incarnation)
 		if err != nil {
 			return nil, trace.Wrap(errors.Join(ErrNotSent, err))
 		}
 		c = fresh
 	}
-	if r.May != nil && !r.May(p.now().Sub(asked)) {
+	if r.MaySend != nil && !r.MaySend(p.now().Sub(asked)) {
 		p.idle.put(c, p.now())
-		return nil, trace.Wrap(ErrHeld)
+		return nil, trace.Wrap(ErrSendDenied)
 	}
 	e := &Exchange{pool: p, conn: c}
 	e.stop = context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
 	if err := e.exchange(r); err != nil {
 		e.stop()
 		c.Close()
-		return nil, trace.Wrap(errors.Join(ErrBroken, err))
+		return nil, trace.Wrap(errors.Join(ErrOutcomeUnknown, err))
 	}
 	return e, nil
 }
 
 func (p *Pool) connect(ctx context.Context, address string, born id.Birth) (*conn, error) {
-	p.Dialled()
+	p.OnDial()
 	n, err := p.dial(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
@@ -88,13 +88,13 @@
 func (e *Exchange) exchange(r *Request) error {
 	c := e.conn
 	r.writeHead(c.w)
-	if r.Rest == nil {
+	if r.BodyRest == nil {
 		_, _ = c.w.Write(r.Body)
 	}
 	if err := c.w.Flush(); err != nil {
 		return err
 	}
-	if r.Rest != nil {
+	if r.BodyRest != nil {
 		e.uploaded = make(chan struct{})
 		go e.upload(r)
 	}
@@ -129,8 +129,8 @@
 	return errors.New("only answers to other requests came")
 }
 
-// End gives the connection back after a whole answer; otherwise it closes it, which ends the upstream's work.
-func (e *Exchange) End(whole bool) {
+// Release gives the connection back after a whole answer; otherwise it closes it, which ends the upstream's work.
+func (e *Exchange) Release(whole bool) {
 	if e.ended {
 		return
 	}
@@ -158,9 +158,9 @@
 	}
 }
 
-// Refused says whether nothing listens at an address any more: the process there has ended, and its VM lives. It is not
+// ProbeRefused says whether nothing listens at an address any more: the process there has ended, and its VM lives. It is not
 // known where neither a connection nor a refusal comes. A connection that comes is kept for the next request.
-func (p *Pool) Refused(ctx context.Context, address string, born id.Birth) (refused, known bool) {
+func (p *Pool) ProbeRefused(ctx context.Context, address string, born id.Birth) (refused, known bool) {
 	c, err := p.connect(ctx, address, born)
 	if err != nil {
 		refused = errors.Is(err, syscall.ECONNREFUSED)
@@ -170,7 +170,7 @@
 	return false, true
 }
 
-// Forget closes the idle connections to an address.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to an address.
+func (p *Pool) CloseIdle(address string) {
 	p.idle.drop(address)
 }
--- a/internal/upconn/request.go
+++ b/internal/upconn/request.go
@@ -18,10 +18,10 @@
 var (
 	// ErrNotSent says that no byte of the request left for the upstream.
 	ErrNotSent = errors.New("the request was not sent")
-	// ErrHeld says that the request was not sent, as it might not be any more once there was a connection.
-	ErrHeld = errors.New("the request may not be sent any more")
-	// ErrBroken says that the request was sent, at least in part, and that no whole answer came.
-	ErrBroken = errors.New("the upstream may have run the request and gave no whole answer")
+	// ErrSendDenied says that the request was not sent, as it might not be any more once there was a connection.
+	ErrSendDenied = errors.New("the request may not be sent any more")
+	// ErrOutcomeUnknown says that the request was sent, at least in part, and that no whole answer came.
+	ErrOutcomeUnknown = errors.New("the upstream may have run the request and gave no whole answer")
 )
 
 // Request is what is sent. The header holds no field that concerns one connection only.
@@ -33,21 +33,21 @@
 	Header http.Header
 	// Body is sent whole, with its length.
 	Body []byte
-	// Rest is what follows Body where it was too long to hold; it is sent in chunks, or with Length bytes in all.
-	Rest   io.Reader
-	Length int64
-	// Born is the start of the upstream that the request is for, where that is known: it goes over no kept connection to an
+	// BodyRest is what follows Body where it was too long to hold; it is sent in chunks, or with Length bytes in all.
+	BodyRest   io.Reader
+	ContentLength int64
+	// Incarnation is the start of the upstream that the request is for, where that is known: it goes over no kept connection to an
 	// earlier one.
-	Born id.Birth
-	// May is asked once there is a connection, with the time that it took to come, and false leaves the request unsent;
+	Incarnation id.Birth
+	// MaySend is asked once there is a connection, with the time that it took to come, and false leaves the request unsent;
 	// nil stands for always. It guards against what must not be sent late: a connection over a link with a queue comes
 	// seconds after it was asked for.
-	May func(dialled time.Duration) bool
+	MaySend func(dialled time.Duration) bool
 }
 
 // hasBody says whether the request carries a body; a POST without one says so with a length of 0.
 func (r *Request) hasBody() bool {
-	return len(r.Body) > 0 || r.Rest != nil || r.Method == http.MethodPost || r.Method == http.MethodPut
+	return len(r.Body) > 0 || r.BodyRest != nil || r.Method == http.MethodPost || r.Method == http.MethodPut
 }
 
 // writeHead writes the request line and the header.
@@ -59,10 +59,10 @@
 		}
 	}
 	switch {
-	case r.Rest != nil && r.Length < 0:
+	case r.BodyRest != nil && r.ContentLength < 0:
 		_, _ = w.WriteString("Transfer-Encoding: chunked\r\n")
-	case r.Rest != nil:
-		_, _ = w.WriteString("Content-Length: " + strconv.FormatInt(r.Length, 10) + "\r\n")
+	case r.BodyRest != nil:
+		_, _ = w.WriteString("Content-Length: " + strconv.FormatInt(r.ContentLength, 10) + "\r\n")
 	case r.hasBody():
 		_, _ = w.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
@@ -72,7 +72,7 @@
 // writeRest sends a long body as it comes in from the caller.
 func (r *Request) writeRest(w *bufio.Writer) error {
 	var to io.Writer = w
-	if r.Length < 0 {
+	if r.ContentLength < 0 {
 		to = chunkWriter{w}
 	}
 	if len(r.Body) > 0 {
@@ -80,10 +80,10 @@
 			return err
 		}
 	}
-	if _, err := io.Copy(flushWriter{to, w}, r.Rest); err != nil {
+	if _, err := io.Copy(flushWriter{to, w}, r.BodyRest); err != nil {
 		return err
 	}
-	if r.Length < 0 {
+	if r.ContentLength < 0 {
 		_, _ = w.WriteString("0\r\n\r\n")
 	}
 	return w.Flush()
--- a/internal/upconn/upconn_test.go
+++ b/internal/upconn/upconn_test.go
@@ -92,12 +92,12 @@
 		p := newPool()
 		for n, born := range []id.Birth{10, 10, 20, 20, 0, 20} {
 			q := request(fmt.Sprint(n))
-			q.Born = born
+			q.Incarnation = born
 			e, err := p.Send(context.Background(), u.address, q)
 			Expect(err).NotTo(HaveOccurred())
 			_, err = io.ReadAll(e.Body)
 			Expect(err).NotTo(HaveOccurred())
-			e.End(true)
+			e.Release(true)
 		}
 		Expect(u.accepted.Load()).To(Equal(int32(2)))
 	})
@@ -116,7 +116,7 @@
 		return "", err
 	}
 	b, err := io.ReadAll(e.Body)
-	e.End(err == nil)
+	e.Release(err == nil)
 	return string(b), err
 }
 
@@ -158,7 +158,7 @@
 		Expect(ask(p, u.address, get)).To(Equal("x"))
 		get.Header.Set(idHeader, "2")
 		_, err := ask(p, u.address, get)
-		Expect(errors.Is(err, ErrBroken)).To(BeTrue())
+		Expect(errors.Is(err, ErrOutcomeUnknown)).To(BeTrue())
 		time.Sleep(50 * time.Millisecond)
 		Expect(u.arrived.Load()).To(Equal(int32(2)))
 	})
@@ -192,7 +192,7 @@
 			_, _ = io.WriteString(c, "\x00\x01 nonsense\r\n\r\n")
 		})
 		_, err := ask(newPool(), u.address, request("1"))
-		Expect(errors.Is(err, ErrBroken)).To(BeTrue())
+		Expect(errors.Is(err, ErrOutcomeUnknown)).To(BeTrue())
 	})
 
 	It("that is reset in an answer without a length does not make it whole", func() {
@@ -219,7 +219,7 @@
 		long := request("1")
 		reader, writer := io.Pipe()
 		defer writer.Close()
-		long.Rest, long.Length = reader, -1
+		long.BodyRest, long.ContentLength = reader, -1
 		Expect(ask(p, u.address, long)).To(Equal("early"))
 		Expect(ask(p, u.address, request("2"))).To(Equal("early"))
 		Expect(u.accepted.Load()).To(Equal(int32(2)))
@@ -238,7 +238,7 @@
 		})
 		long := request("1")
 		rest := strings.Repeat("0123456789", 20000)
-		long.Rest, long.Length = strings.NewReader(rest), length
+		long.BodyRest, long.ContentLength = strings.NewReader(rest), length
 		Expect(ask(newPool(), u.address, long)).To(Equal("done"))
 		Expect(<-got == "hello"+rest).To(BeTrue())
 	}, Entry("with its length", int64(200005)), Entry("in chunks", int64(-1)))
@@ -261,7 +261,7 @@
 		left := time.AfterFunc(50*time.Millisecond, leave)
 		defer left.Stop()
 		_, err := newPool().Send(ctx, u.address, request("1"))
-		Expect(errors.Is(err, ErrBroken)).To(BeTrue())
+		Expect(errors.Is(err, ErrOutcomeUnknown)).To(BeTrue())
 		Eventually(gone).WithTimeout(500 * time.Millisecond).Should(Receive())
 	})
 })
@@ -276,12 +276,12 @@
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		p := pool((&net.Dialer{}).DialContext)
-		refused, known := p.Refused(ctx, l.Addr().String(), 0)
+		refused, known := p.ProbeRefused(ctx, l.Addr().String(), 0)
 		Expect(refused).To(BeFalse())
 		Expect(known).To(BeTrue())
 		Expect(p.idle.conns[l.Addr().String()]).To(HaveLen(1), "the connection is there for the next request")
 		Expect(l.Close()).To(Succeed())
-		refused, known = p.Refused(ctx, l.Addr().String(), 0)
+		refused, known = p.ProbeRefused(ctx, l.Addr().String(), 0)
 		Expect(refused).To(BeTrue())
 		Expect(known).To(BeTrue())
 	})
@@ -293,7 +293,7 @@
 		})
 		short, stop := context.WithTimeout(ctx, 20*time.Millisecond)
 		defer stop()
-		_, known := p.Refused(short, "127.0.0.1:1", 0)
+		_, known := p.ProbeRefused(short, "127.0.0.1:1", 0)
 		Expect(known).To(BeFalse())
 	})
 })
