--- a/internal/upstream/activator.go
+++ b/internal/upstream/activator.go
@@ -25,7 +25,7 @@
 
 // Activator orders the engine to load what this VM should serve, and announces only what the engine says it serves.
 type Activator struct {
-	live   *Live
+	live   *LiveVersions
 	log    *log.Logger
 	events *kernel.EventRing
 	// engineState and load are the engine's; replicas, config, askTurn and report are the agent's other parts.
@@ -56,15 +56,15 @@
 }
 
 // NewActivator makes an activator with its seams.
-func NewActivator(l *Live, g *log.Logger, e *kernel.EventRing) *Activator {
+func NewActivator(l *LiveVersions, g *log.Logger, e *kernel.EventRing) *Activator {
 	return &Activator{
 		live: l, log: g, events: e, swapping: map[id.Rollout]bool{}, asking: map[id.Rollout]bool{},
 		failed: map[id.Rollout]int{}, retry: map[id.Rollout]time.Time{}, granted: make(chan turn, 16),
 	}
 }
 
-// Step looks at the engine once, gives the orders that are due and reports what changed.
-func (a *Activator) Step(ctx context.Context) {
+// Reconcile looks at the engine once, gives the orders that are due and reports what changed.
+func (a *Activator) Reconcile(ctx context.Context) {
 	state, err := a.engineState(ctx)
 	up := err == nil
 	a.announce(state, up)
@@ -143,8 +143,8 @@
 	}()
 }
 
-// Take carries out a turn, if it was given and the load is still due.
-func (a *Activator) Take(ctx context.Context, t turn) {
+// HandleTurn carries out a turn, if it was given and the load is still due.
+func (a *Activator) HandleTurn(ctx context.Context, t turn) {
 	delete(a.asking, t.rollout)
 	state, err := a.engineState(ctx)
 	if !t.ok || err != nil {
--- a/internal/upstream/door.go
+++ b/internal/upstream/door.go
@@ -28,13 +28,13 @@
 	readBytes = 16 << 10
 )
 
-// Door lets requests through to the upstream, one whole answer each, or says that a request was not run.
-type Door struct {
+// RequestHandler lets requests through to the upstream, one whole answer each, or says that a request was not run.
+type RequestHandler struct {
 	vm       id.VM
 	engine   bool
 	capacity int
-	live     *Live
-	once     *Once
+	live     *LiveVersions
+	once     *IdempotencyCache
 	events   *kernel.EventRing
 	send     func(r *http.Request, repeatable bool) (*http.Response, error)
 	url      func(path string) string
@@ -52,7 +52,7 @@
 }
 
 // Run implements the upstream service.
-func (d *Door) Run(ctx context.Context, r *pb.RunRequest, out *connect.ServerStream[pb.RunResponse]) error {
+func (d *RequestHandler) Run(ctx context.Context, r *pb.RunRequest, out *connect.ServerStream[pb.RunResponse]) error {
 	a := &answer{request: r, out: out, vm: d.vm}
 	remaining := time.Duration(r.GetRemainingMs()) * time.Millisecond
 	ctx, stop := context.WithTimeout(ctx, remaining)
@@ -63,7 +63,7 @@
 	defer d.exit()
 	if d.engine {
 		k := modelKey{organisation: id.Organisation(r.GetOrganisation()), model: id.Model(r.GetModel())}
-		v, leave, ok := d.live.Enter(k, id.Rollout(r.GetRollout()))
+		v, leave, ok := d.live.Acquire(k, id.Rollout(r.GetRollout()))
 		if !ok {
 			return d.refuse(a, &refusal{reason: pb.RefusalReason_REFUSAL_REASON_NOT_LIVE, detail: "version not live here"})
 		}
@@ -76,7 +76,7 @@
 	return d.run(ctx, a)
 }
 
-func (d *Door) enter(remaining time.Duration) *refusal {
+func (d *RequestHandler) enter(remaining time.Duration) *refusal {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
@@ -91,7 +91,7 @@
 	return nil
 }
 
-func (d *Door) exit() {
+func (d *RequestHandler) exit() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.running--
@@ -101,14 +101,14 @@
 	}
 }
 
-func (d *Door) load() *pb.Load {
+func (d *RequestHandler) load() *pb.Load {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return &pb.Load{Running: uint32(d.running), Capacity: uint32(d.capacity)}
 }
 
 // Drain takes no new requests and waits until those in flight have ended.
-func (d *Door) Drain(ctx context.Context) {
+func (d *RequestHandler) Drain(ctx context.Context) {
 	d.mu.Lock()
 	d.leaving = true
 	d.mu.Unlock()
@@ -127,14 +127,14 @@
 	}
 }
 
-func (d *Door) refuse(a *answer, f *refusal) error {
+func (d *RequestHandler) refuse(a *answer, f *refusal) error {
 	d.event(kernel.EventRequestRefused, a.request, f.detail)
 	return a.send(&pb.RunResponse{Part: &pb.RunResponse_Refused{Refused: &pb.RunRefused{
 		Reason: f.reason, Detail: f.detail, RetryAfterMs: fullRetry.Milliseconds(),
 	}}})
 }
 
-func (d *Door) event(k kernel.EventKind, r *pb.RunRequest, detail string) {
+func (d *RequestHandler) event(k kernel.EventKind, r *pb.RunRequest, detail string) {
 	d.events.Add(kernel.Event{
 		Kind: k, Organisation: id.Organisation(r.GetOrganisation()), Rollout: id.Rollout(r.GetRollout()),
 		Request: id.Request(r.GetRequestId()), Detail: detail,
@@ -142,7 +142,7 @@
 }
 
 // runOnce runs a request whose key has not been seen, or answers from what the first one left.
-func (d *Door) runOnce(ctx context.Context, a *answer) error {
+func (d *RequestHandler) runOnce(ctx context.Context, a *answer) error {
 	k := onceKey{organisation: id.Organisation(a.request.GetOrganisation()), key: a.request.GetIdempotencyKey()}
 	e, first := d.once.begin(k)
 	if !first {
@@ -158,7 +158,7 @@
 	return err
 }
 
-func (d *Door) replay(a *answer, e *onceEntry) error {
+func (d *RequestHandler) replay(a *answer, e *onceEntry) error {
 	switch state, parts := e.read(); state {
 	case onceDone:
 		for _, p := range parts {
@@ -177,7 +177,7 @@
 }
 
 // run sends the request and passes the answer on. Before Send returns a connection, nothing has been sent.
-func (d *Door) run(ctx context.Context, a *answer) error {
+func (d *RequestHandler) run(ctx context.Context, a *answer) error {
 	r := a.request
 	q, err := http.NewRequestWithContext(ctx, r.GetMethod(), d.url(r.GetPath()), bytes.NewReader(r.GetBody()))
 	if err != nil {
@@ -204,7 +204,7 @@
 }
 
 // pass checks that the answer is of this request and of the announced version, and passes it on.
-func (d *Door) pass(a *answer, got *http.Response) error {
+func (d *RequestHandler) pass(a *answer, got *http.Response) error {
 	if of := got.Header.Get("X-Request-Id"); of != a.request.GetRequestId() {
 		return a.fail(fmt.Sprintf("the upstream's answer is of another request (%q)", of))
 	}
--- a/internal/upstream/live.go
+++ b/internal/upstream/live.go
@@ -25,21 +25,21 @@
 	inFlight int
 }
 
-// Live is what the engine serves and what runs on it. A request holds its version from Enter to leave, and a swap
+// LiveVersions is what the engine serves and what runs on it. A request holds its version from Acquire to leave, and a swap
 // waits until no request holds the version that it takes away.
-type Live struct {
+type LiveVersions struct {
 	mu     sync.Mutex
 	models map[modelKey]*liveModel
 	idle   chan struct{}
 }
 
-// NewLive makes an empty one.
-func NewLive() *Live {
-	return &Live{models: map[modelKey]*liveModel{}, idle: make(chan struct{})}
+// NewLiveVersions makes an empty one.
+func NewLiveVersions() *LiveVersions {
+	return &LiveVersions{models: map[modelKey]*liveModel{}, idle: make(chan struct{})}
 }
 
 // Announce makes a version live and says whether that is new.
-func (l *Live) Announce(k modelKey, v id.Version, r id.Rollout) bool {
+func (l *LiveVersions) Announce(k modelKey, v id.Version, r id.Rollout) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if m := l.models[k]; m != nil && m.rollout == r {
@@ -50,7 +50,7 @@
 }
 
 // Withdraw ends a model's live version; requests that hold it go on. It says whether there was one.
-func (l *Live) Withdraw(k modelKey) bool {
+func (l *LiveVersions) Withdraw(k modelKey) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := l.models[k]
@@ -65,7 +65,7 @@
 }
 
 // Rollout returns the rollout that is live for a model, or nothing.
-func (l *Live) Rollout(k modelKey) id.Rollout {
+func (l *LiveVersions) Rollout(k modelKey) id.Rollout {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if m := l.models[k]; m != nil {
@@ -74,8 +74,8 @@
 	return ""
 }
 
-// Enter holds a model's live version for a request if it is of the wanted rollout.
-func (l *Live) Enter(k modelKey, r id.Rollout) (v id.Version, leave func(), ok bool) {
+// Acquire holds a model's live version for a request if it is of the wanted rollout.
+func (l *LiveVersions) Acquire(k modelKey, r id.Rollout) (v id.Version, leave func(), ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := l.models[k]
@@ -86,7 +86,7 @@
 	return m.version, func() { l.leave(k, m) }, true
 }
 
-func (l *Live) leave(k modelKey, m *liveModel) {
+func (l *LiveVersions) leave(k modelKey, m *liveModel) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m.inFlight--
@@ -101,7 +101,7 @@
 }
 
 // WaitIdle waits until no request holds a withdrawn model, or the context ends.
-func (l *Live) WaitIdle(ctx context.Context, k modelKey) bool {
+func (l *LiveVersions) WaitIdle(ctx context.Context, k modelKey) bool {
 	for {
 		l.mu.Lock()
 		m, idle := l.models[k], l.idle
@@ -119,7 +119,7 @@
 }
 
 // List returns the live versions by organisation and model.
-func (l *Live) List() []*pb.LiveVersion {
+func (l *LiveVersions) List() []*pb.LiveVersion {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []*pb.LiveVersion
--- a/internal/upstream/live_test.go
+++ b/internal/upstream/live_test.go
@@ -20,11 +20,11 @@
 	k := modelKey{organisation: "gym", model: "desk"}
 
 	It("is held by its requests: a swap waits for them, and takes no new ones", func() {
-		l := NewLive()
+		l := NewLiveVersions()
 		l.Announce(k, "v1", "r1")
 		var wait sync.WaitGroup
 		for range 8 {
-			_, leave, ok := l.Enter(k, "r1")
+			_, leave, ok := l.Acquire(k, "r1")
 			Expect(ok).To(BeTrue())
 			wait.Go(func() {
 				time.Sleep(20 * time.Millisecond)
@@ -32,7 +32,7 @@
 			})
 		}
 		Expect(l.Withdraw(k)).To(BeTrue())
-		_, _, ok := l.Enter(k, "r1")
+		_, _, ok := l.Acquire(k, "r1")
 		Expect(ok).To(BeFalse())
 		Expect(l.List()).To(BeEmpty())
 		short, stop := context.WithTimeout(context.Background(), time.Millisecond)
@@ -43,9 +43,9 @@
 	})
 
 	It("is not entered for another rollout", func() {
-		l := NewLive()
+		l := NewLiveVersions()
 		l.Announce(k, "v2", "r2")
-		_, _, ok := l.Enter(k, "r1")
+		_, _, ok := l.Acquire(k, "r1")
 		Expect(ok).To(BeFalse())
 	})
 })
@@ -53,7 +53,7 @@
 var _ = Describe("a key", func() {
 	It("is claimed once, kept for its time, and free again where nothing ran", func() {
 		now := time.Unix(0, 0)
-		o := NewOnce(func() time.Time { return now })
+		o := NewIdempotencyCache(func() time.Time { return now })
 		k := onceKey{organisation: "gym", key: "k"}
 		e, first := o.begin(k)
 		Expect(first).To(BeTrue())
--- a/internal/upstream/once.go
+++ b/internal/upstream/once.go
@@ -53,21 +53,21 @@
 	return e.state, e.parts
 }
 
-// Once remembers the outcomes of requests that may not be repeated, by organisation and idempotency key.
-type Once struct {
+// IdempotencyCache remembers the outcomes of requests that may not be repeated, by organisation and idempotency key.
+type IdempotencyCache struct {
 	now     func() time.Time
 	mu      sync.Mutex
 	entries map[onceKey]*onceEntry
 	swept   time.Time
 }
 
-// NewOnce makes an empty memory.
-func NewOnce(now func() time.Time) *Once {
-	return &Once{now: now, entries: map[onceKey]*onceEntry{}, swept: now()}
+// NewIdempotencyCache makes an empty memory.
+func NewIdempotencyCache(now func() time.Time) *IdempotencyCache {
+	return &IdempotencyCache{now: now, entries: map[onceKey]*onceEntry{}, swept: now()}
 }
 
 // begin claims a key. It returns the entry and whether the caller is the first and has to run the request.
-func (o *Once) begin(k onceKey) (*onceEntry, bool) {
+func (o *IdempotencyCache) begin(k onceKey) (*onceEntry, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.sweep()
@@ -80,7 +80,7 @@
 }
 
 // end forgets an entry that was proved not run.
-func (o *Once) end(k onceKey, e *onceEntry) {
+func (o *IdempotencyCache) end(k onceKey, e *onceEntry) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if state, _ := e.read(); state == onceNotRun {
@@ -88,7 +88,7 @@
 	}
 }
 
-func (o *Once) sweep() {
+func (o *IdempotencyCache) sweep() {
 	if o.now().Sub(o.swept) < onceKept/10 {
 		return
 	}
--- a/internal/upstream/part.go
+++ b/internal/upstream/part.go
@@ -53,7 +53,7 @@
 
 // Part is the agent's side towards its upstream.
 type Part struct {
-	*Door
+	*RequestHandler
 	activator *Activator
 	settings  *Settings
 	client    *engine.Engine
@@ -71,10 +71,10 @@
 		return nil, trace.Wrap(err, "upstream.local")
 	}
 	client := engine.New(s.URL, s.Capacity)
-	live := NewLive()
+	live := NewLiveVersions()
 	p := &Part{settings: s, client: client, follower: f, manager: m, local: l}
-	p.Door = &Door{
-		vm: h.Identity.VM, engine: f.Self().GetEngine(), capacity: s.Capacity, live: live, once: NewOnce(time.Now),
+	p.RequestHandler = &RequestHandler{
+		vm: h.Identity.VM, engine: f.Self().GetEngine(), capacity: s.Capacity, live: live, once: NewIdempotencyCache(time.Now),
 		events: h.Events, send: client.Send, url: client.URL, finished: make(chan struct{}),
 	}
 	a := NewActivator(live, h.Log, h.Events)
@@ -82,7 +82,7 @@
 	a.askTurn, a.report, a.localURL = f.AskTurn, f.Report, "http://"+l.Addr().String()
 	p.activator = a
 	r := h.Part(rpc.PartName).(*rpc.Server)
-	r.Handle(springrailv1connect.NewUpstreamServiceHandler(p.Door))
+	r.Handle(springrailv1connect.NewUpstreamServiceHandler(p.RequestHandler))
 	return p, nil
 }
 
@@ -91,14 +91,14 @@
 	go p.serveLocal(ctx)
 	for ctx.Err() == nil {
 		if p.engine {
-			p.activator.Step(ctx)
+			p.activator.Reconcile(ctx)
 		} else {
 			p.watchService(ctx)
 		}
 		select {
 		case <-ctx.Done():
 		case t := <-p.activator.granted:
-			p.activator.Take(ctx, t)
+			p.activator.HandleTurn(ctx, t)
 		case <-time.After(p.settings.Poll):
 		}
 	}
@@ -108,7 +108,7 @@
 // Drain tells the entries first, then waits for the requests in flight.
 func (p *Part) Drain(ctx context.Context) {
 	p.follower.Report(func(s *pb.VMStatus) { s.Leaving = true })
-	p.Door.Drain(ctx)
+	p.RequestHandler.Drain(ctx)
 }
 
 func (p *Part) watchService(ctx context.Context) {
