--- a/internal/records/reader.go
+++ b/internal/records/reader.go
@@ -108,8 +108,8 @@
 	r.stood = r.stood || r.now().Sub(began) > d+restMost
 }
 
-// SameEra returns nil where an answer is of the era of a position that has been read to, platform.ErrOffsetExpired where it is of
-// a later one, and platform.ErrUnavailable where it is of an earlier one, which comes late.
+// SameEra returns nil where an answer is of the era of a position that has been read to, platform.ErrOffsetExpired where it
+// is of a later one, and platform.ErrUnavailable where it is of an earlier one, which comes late.
 func SameEra(got, asked id.Position) error {
 	switch {
 	case got.Era() > asked.Era():
--- a/internal/upconn/request.go
+++ b/internal/upconn/request.go
@@ -34,7 +34,7 @@
 	// Body is sent whole, with its length.
 	Body []byte
 	// BodyRest is what follows Body where it was too long to hold; it is sent in chunks, or with Length bytes in all.
-	BodyRest   io.Reader
+	BodyRest      io.Reader
 	ContentLength int64
 	// Incarnation is the start of the upstream that the request is for, where that is known: it goes over no kept connection to an
 	// earlier one.
