--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -160,7 +160,7 @@
 	}
 	g.witness = quarantine.NewCrashDetector(g.ended, q.ReportCrash, clock.Now)
 	q.Suspects.OnHeld = append(q.Suspects.OnHeld, func(h quarantine.HeldRequest) { g.flights.stop(h.Fingerprint) })
-	g.pool.Dialled = func() { g.tally.add("dialled") }
+	g.pool.OnDial = func() { g.tally.add("dialled") }
 	g.server = &http.Server{
 		Handler: g, ReadHeaderTimeout: headTimeout, IdleTimeout: callerIdle, MaxHeaderBytes: mostHead,
 		ErrorLog: nil,
