--- a/internal/gateway/desk.go
+++ b/internal/gateway/desk.go
@@ -105,7 +105,7 @@
 		return c, nil
 	}
 	if c.Limit != nil {
-		k.noteLimited(c.Limit.Due)
+		k.noteLimited(c.Limit.NextPermitIn)
 		return c, d.noUpstream(q, 0)
 	}
 	no := d.noRoom(q, "too busy", usual-aim)
@@ -219,7 +219,7 @@
 	case c.Rest > 0:
 		q.decision.noteResting(c.Rest)
 	case c.Limit != nil && (c.Limit.Permits == 0 || q.declined(c)):
-		q.decision.noteLimited(c.Limit.Due)
+		q.decision.noteLimited(c.Limit.NextPermitIn)
 	default:
 		return false
 	}
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -41,7 +41,7 @@
 	// Revision is the version that the answer is made with; 0 where it does not say.
 	Revision id.Revision
 	// Limit is what the answer says of the upstream's limit.
-	Limit throttle.Word
+	Limit throttle.LimitInfo
 	// Leaving says that the upstream is about to end.
 	Leaving bool
 	// Rest is how long the upstream wants no further request from this gateway; 0 where it does not say.
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -12,7 +12,7 @@
 	a, now := &pb.ListLimitsResponse{}, g.now()
 	for _, l := range g.load.Tracker.Limits() {
 		a.Entries = append(a.Entries, &pb.LimitEntry{
-			Address: l.Address, Rate: float64(l.Rate), AgeMs: now.Sub(l.Since).Milliseconds(), Permits: uint32(l.Permits), Sent: l.Sent, Alone: l.Alone,
+			Address: l.Address, Rate: float64(l.Rate), AgeMs: now.Sub(l.KnownSince).Milliseconds(), Permits: uint32(l.Permits), Sent: l.Sent, Alone: l.OwnShare,
 		})
 	}
 	for _, r := range g.load.Tracker.Rests() {
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -79,7 +79,7 @@
 }
 
 // noteLimit takes what an answer says of its upstream's limit, and tells the process beside the upstream where that may not know.
-func (t *attempt) noteLimit(w throttle.Word) {
+func (t *attempt) noteLimit(w throttle.LimitInfo) {
 	f := t.flight
 	f.named = w
 	if !t.mark.Answered(w) {
@@ -87,21 +87,21 @@
 	}
 	k := f.gateway.load.Permits
 	switch {
-	case w.Said == throttle.Limited:
+	case w.State == throttle.Limited:
 		k.Named(t.choice.Address, t.choice.Born, w.Rate)
-	case w.Said == throttle.Unlimited && t.permit > 0:
+	case w.State == throttle.Unlimited && t.permit > 0:
 		k.Ended(t.choice.Address, t.choice.Born, t.permit)
 	}
 }
 
 // logLimit adds to a request's line what it had to do with a limit.
 func (f *flight) logLimit(e *log.Entry) *log.Entry {
-	if f.named.Said == throttle.Limited {
+	if f.named.State == throttle.Limited {
 		e = e.Float64("limit_named", float64(f.named.Rate))
 	}
-	if f.limit.Since.IsZero() {
+	if f.limit.KnownSince.IsZero() {
 		return e
 	}
-	return e.Float64("limit", float64(f.limit.Rate)).Int64("limit_age_ms", f.gateway.now().Sub(f.limit.Since).Milliseconds()).
+	return e.Float64("limit", float64(f.limit.Rate)).Int64("limit_age_ms", f.gateway.now().Sub(f.limit.KnownSince).Milliseconds()).
 		Int("permits_left", f.limit.Permits).Uint64("permit", f.permit)
 }
--- a/internal/gateway/permit_test.go
+++ b/internal/gateway/permit_test.go
@@ -25,12 +25,12 @@
 		s     *sleeper
 		asked atomic.Int32
 	)
-	limited := throttle.Word{Said: throttle.Limited, Rate: 2}
+	limited := throttle.LimitInfo{State: throttle.Limited, Rate: 2}
 	// limit has the stager beside an upstream tell a limit, of which two permits are there.
 	limit := func(name string) {
 		b.tracker.SetReport(b.facts.Instance(id.Instance(name)).Address, placement.LoadReport{
 			Taken: s.now(), Until: s.now().Add(time.Hour), Held: []facts.Held{{Model: "m", Revision: 1}},
-			Limit: throttle.Told{Word: limited, By: 1, Permits: 2},
+			Limit: throttle.Announcement{LimitInfo: limited, Incarnation: 1, Permits: 2},
 		})
 	}
 	// answers has questions answered in a way.
@@ -90,7 +90,7 @@
 	It("is served by one that is not limited where the others give no permit", func() {
 		answers(0, true, 0)
 		b.tracker.SetReport(b.facts.Instance("w").Address, placement.LoadReport{
-			Taken: s.now(), Until: s.now().Add(time.Hour), Held: []facts.Held{{Model: "m", Revision: 1}}, Limit: throttle.Told{By: 1, Word: throttle.Word{Said: throttle.Unlimited}},
+			Taken: s.now(), Until: s.now().Add(time.Hour), Held: []facts.Held{{Model: "m", Revision: 1}}, Limit: throttle.Announcement{Incarnation: 1, LimitInfo: throttle.LimitInfo{State: throttle.Unlimited}},
 		})
 		Expect(ask().StatusCode).To(Equal(200))
 		Expect(asked.Load()).To(BeNumerically("<=", mostPermitAsks))
@@ -105,14 +105,14 @@
 		verdict := d.Verdict
 		d.Verdict = func(status int, h http.Header) Verdict {
 			v := verdict(status, h)
-			v.Limit = throttle.Parse(h.Get("X-Limit"))
+			v.Limit = throttle.ParseLimit(h.Get("X-Limit"))
 			return v
 		}
 		b.gateway.dialect = d
 		text := "2"
 		b.upstream("u", "engines", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 200, "X-Limit: "+text+"\r\n", "ran") })
 		address := b.facts.Instances()[0].Address
-		told := func(w throttle.Told) {
+		told := func(w throttle.Announcement) {
 			b.tracker.SetReport(address, placement.LoadReport{Taken: time.Now(), Held: []facts.Held{{Model: "m", Revision: 1}}, Limit: w})
 		}
 		var named []throttle.Rate
@@ -122,11 +122,11 @@
 			Named: func(_ string, _ id.Birth, r throttle.Rate) { named = append(named, r) },
 			Ended: func(_ string, _ id.Birth, permit uint64) { ended = append(ended, permit) },
 		}
-		told(throttle.Told{By: 1})
+		told(throttle.Announcement{Incarnation: 1})
 		for range 2 {
 			_, _, err := b.ask("POST", "/p/", "x", xModel, "m")
 			Expect(err).NotTo(HaveOccurred())
-			told(throttle.Told{Word: throttle.Word{Said: throttle.Limited, Rate: 2}, By: 1, Permits: 2})
+			told(throttle.Announcement{LimitInfo: throttle.LimitInfo{State: throttle.Limited, Rate: 2}, Incarnation: 1, Permits: 2})
 		}
 		Expect(named).To(Equal([]throttle.Rate{2, 2}))
 		text = ""
@@ -150,7 +150,7 @@
 		i := b.facts.Instance("v")
 		b.tracker.SetReport(i.Address, placement.LoadReport{
 			Taken: time.Now().Add(time.Minute), Until: time.Now().Add(time.Hour), Held: i.Held,
-			Limit: throttle.Told{Word: throttle.Word{Said: throttle.Limited, Rate: 0.1}, By: 1},
+			Limit: throttle.Announcement{LimitInfo: throttle.LimitInfo{State: throttle.Limited, Rate: 0.1}, Incarnation: 1},
 		})
 		_, _, err := b.ask("POST", "/p/", "x", xModel, "m")
 		Expect(err).To(HaveOccurred(), "cut, as nothing else may have it")
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -59,7 +59,7 @@
 	retry     time.Duration
 	// named is what the newest answer says of its upstream's limit, and limit what was known of the last limited
 	// upstream that was chosen.
-	named throttle.Word
+	named throttle.LimitInfo
 	limit throttle.Limit
 	// held is why the newest attempt was not sent; empty where it was.
 	held heldReason
--- a/internal/placement/limit.go
+++ b/internal/placement/limit.go
@@ -26,9 +26,9 @@
 func (t *Tracker) limitOf(u *upstream) throttle.Limit {
 	now := t.now()
 	if u.report.believed(now) {
-		return u.limit.Asked(now)
+		return u.limit.Granted(now)
 	}
-	return u.limit.Alone(now, u.limit.Part(t.Gateways(), !u.reports()), rand.Float64)
+	return u.limit.Shared(now, u.limit.Share(t.Gateways(), !u.reports()), rand.Float64)
 }
 
 // Limited is an upstream that names a limit.
@@ -65,18 +65,18 @@
 }
 
 // hearLimit takes what the process beside the upstream tells.
-func (u *upstream) hearLimit(told throttle.Told, now time.Time) {
-	if u.unlimited(told.Word) {
+func (u *upstream) hearLimit(told throttle.Announcement, now time.Time) {
+	if u.unlimited(told.LimitInfo) {
 		return
 	}
-	u.limit.Hear(told, now)
+	u.limit.ApplyAnnouncement(told, now)
 	u.settle()
 }
 
 // unlimited says whether the upstream has no limit and a word does not change that; otherwise its limit can be set.
-func (u *upstream) unlimited(w throttle.Word) bool {
-	if u.limit == nil && w.Said == throttle.Limited {
-		u.limit = &throttle.Known{}
+func (u *upstream) unlimited(w throttle.LimitInfo) bool {
+	if u.limit == nil && w.State == throttle.Limited {
+		u.limit = &throttle.KnownLimit{}
 	}
 	return u.limit == nil
 }
@@ -89,7 +89,7 @@
 }
 
 // HearLimit takes what the process beside an upstream has told besides its report.
-func (t *Tracker) HearLimit(address string, told throttle.Told) {
+func (t *Tracker) HearLimit(address string, told throttle.Announcement) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if u := t.known[address]; u != nil {
@@ -106,7 +106,7 @@
 	if u == nil || u.limit == nil {
 		return 0, 0, false
 	}
-	r, untold := u.limit.Untold(by)
+	r, untold := u.limit.Unannounced(by)
 	return r, u.born, untold
 }
 
@@ -115,12 +115,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.known[address]
-	return u != nil && u.limit != nil && u.limit.Take(t.now())
+	return u != nil && u.limit != nil && u.limit.TakeSharePermit(t.now())
 }
 
 // Answered takes what the upstream's answer to the request says of its limit, and returns whether the process beside
 // the upstream is to be told.
-func (f *Flight) Answered(w throttle.Word) (tell bool) {
+func (f *Flight) Answered(w throttle.LimitInfo) (tell bool) {
 	t, u := f.tracker, f.upstream
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -129,9 +129,9 @@
 	}
 	now := t.now()
 	silent := !u.report.believed(now)
-	u.limit.Answer(w, f.sent.at, now, silent)
+	u.limit.ApplyAnswer(w, f.sent.at, now, silent)
 	u.settle()
-	return u.limit != nil && !u.limit.Reported() && !silent
+	return u.limit != nil && !u.limit.FromUpstream() && !silent
 }
 
 // RetrySpread is when a caller may come back where permits come more slowly than callers: any moment from the next
--- a/internal/placement/limit_test.go
+++ b/internal/placement/limit_test.go
@@ -50,20 +50,20 @@
 		t   *Tracker
 		i   *facts.Instance
 	)
-	limited := throttle.Word{Said: throttle.Limited, Rate: 2}
+	limited := throttle.LimitInfo{State: throttle.Limited, Rate: 2}
 	BeforeEach(func() {
 		now = time.Unix(1000, 0)
 		t = NewTracker(func() time.Time { return now })
 		i = &facts.Instance{ID: "i", Address: "a", Born: 5, Seen: 1}
 	})
-	report := func(b id.Birth, told throttle.Told) {
+	report := func(b id.Birth, told throttle.Announcement) {
 		t.SetReport("a", LoadReport{Born: b, Taken: now, Limit: told})
 	}
 
 	It("is of one start of an upstream", func() {
-		report(5, throttle.Told{Word: limited, By: 1, Permits: 2})
+		report(5, throttle.Announcement{LimitInfo: limited, Incarnation: 1, Permits: 2})
 		Expect(t.Candidate(i, 0).Limit.Permits).To(Equal(2))
-		report(6, throttle.Told{By: 1})
+		report(6, throttle.Announcement{Incarnation: 1})
 		Expect(t.Candidate(i, 0).Limit).To(BeNil())
 	})
 
@@ -76,22 +76,22 @@
 	})
 
 	It("is told to the process beside the upstream where that does not say it itself", func() {
-		report(5, throttle.Told{By: 1})
+		report(5, throttle.Announcement{Incarnation: 1})
 		f := t.Begin("a", 1)
 		Expect(f.Answered(limited)).To(BeTrue())
 		_, _, untold := t.Untold("a", 1)
 		Expect(untold).To(BeTrue())
-		report(5, throttle.Told{Word: limited, By: 1})
+		report(5, throttle.Announcement{LimitInfo: limited, Incarnation: 1})
 		_, _, untold = t.Untold("a", 1)
 		Expect(untold).To(BeFalse())
 		Expect(f.Answered(limited)).To(BeTrue())
-		report(5, throttle.Told{Word: limited, By: 1, Reported: true})
+		report(5, throttle.Announcement{LimitInfo: limited, Incarnation: 1, FromUpstream: true})
 		Expect(f.Answered(limited)).To(BeFalse())
 	})
 
 	It("leaves each gateway its part while the process beside the upstream is silent", func() {
 		t.Gateways = func() int { return 2 }
-		report(5, throttle.Told{Word: limited, By: 1, Permits: 2})
+		report(5, throttle.Announcement{LimitInfo: limited, Incarnation: 1, Permits: 2})
 		Expect(t.TakePart("a")).To(BeFalse())
 		now = now.Add(2 * time.Second)
 		taken := 0
--- a/internal/placement/tracker.go
+++ b/internal/placement/tracker.go
@@ -45,7 +45,7 @@
 	// Until is when it is no longer believed; zero is reportLife after it was taken.
 	Until time.Time
 	// Limit is what it tells of the upstream's limit.
-	Limit throttle.Told
+	Limit throttle.Announcement
 }
 
 // sent is one request of this process at an upstream.
@@ -64,7 +64,7 @@
 	until    time.Time
 	way      Way
 	// limit is nil while the upstream is not known to have one.
-	limit *throttle.Known
+	limit *throttle.KnownLimit
 	// limited is the instance that the limit is of; nil before one was looked at.
 	limited *facts.Instance
 	// rest is what an instance at the address has asked for.
@@ -199,7 +199,7 @@
 	s := &sent{at: t.now(), tokens: tokens}
 	u.sent[s], u.used = struct{}{}, s.at
 	if u.limit != nil {
-		u.limit.Count()
+		u.limit.CountSent()
 	}
 	return &Flight{tracker: t, upstream: u, sent: s}
 }
--- a/internal/reports/permits.go
+++ b/internal/reports/permits.go
@@ -107,15 +107,15 @@
 }
 
 // told reads what a stager tells of its upstream's limit. Rates that are none are as if it told nothing.
-func told(r *pb.UpstreamReport) throttle.Told {
+func told(r *pb.UpstreamReport) throttle.Announcement {
 	l := r.GetLimit()
-	t := throttle.Told{By: r.GetIncarnation()}
+	t := throttle.Announcement{Incarnation: r.GetIncarnation()}
 	switch {
 	case l == nil:
 	case l.GetOver():
-		t.Said = throttle.Unlimited
-	case throttle.Valid(l.GetRate()) && throttle.Valid(l.GetPermits()):
-		t.Word, t.Permits, t.Reported = throttle.Word{Said: throttle.Limited, Rate: throttle.Rate(l.GetRate())}, l.GetPermits(), l.GetReported()
+		t.State = throttle.Unlimited
+	case throttle.ValidRate(l.GetRate()) && throttle.ValidRate(l.GetPermits()):
+		t.LimitInfo, t.Permits, t.FromUpstream = throttle.LimitInfo{State: throttle.Limited, Rate: throttle.Rate(l.GetRate())}, l.GetPermits(), l.GetReported()
 	}
 	return t
 }
@@ -150,11 +150,11 @@
 // upstream's limit.
 func (r *Reporter) takePermit(m *pb.PermitRequest) {
 	born := id.Birth(m.GetBorn())
-	if m.Named != nil && throttle.Valid(m.GetNamed()) {
-		r.limiter.Named(throttle.Rate(m.GetNamed()), born)
+	if m.Named != nil && throttle.ValidRate(m.GetNamed()) {
+		r.limiter.RecordGatewayLimit(throttle.Rate(m.GetNamed()), born)
 	}
 	if m.GetEnded() > 0 {
-		r.limiter.Ended(m.GetEnded(), born)
+		r.limiter.RecordGatewayEnd(m.GetEnded(), born)
 	}
 	if m.GetNumber() == 0 {
 		return
@@ -169,7 +169,7 @@
 
 // answerPermit answers a gateway's question.
 func (r *Reporter) answerPermit(to *net.UDPAddr, m *pb.PermitRequest) {
-	a := &pb.PermitAnswer{Number: m.GetNumber(), Permit: r.limiter.Permit()}
+	a := &pb.PermitAnswer{Number: m.GetNumber(), Permit: r.limiter.IssuePermit()}
 	r.mu.Lock()
 	address, domain := r.address, r.subscribers[m.GetSender()].domain
 	r.mu.Unlock()
@@ -192,10 +192,10 @@
 
 // limit is what gateways are told of the upstream's limit; nil while there is nothing to tell.
 func (r *Reporter) limit() *pb.UpstreamLimit {
-	t := r.limiter.Tell()
-	switch t.Said {
+	t := r.limiter.Announce()
+	switch t.State {
 	case throttle.Limited:
-		return &pb.UpstreamLimit{Rate: float64(t.Rate), Permits: t.Permits, Reported: t.Reported}
+		return &pb.UpstreamLimit{Rate: float64(t.Rate), Permits: t.Permits, Reported: t.FromUpstream}
 	case throttle.Unlimited:
 		return &pb.UpstreamLimit{Over: true}
 	default:
--- a/internal/stager/part.go
+++ b/internal/stager/part.go
@@ -198,7 +198,7 @@
 		s.prove(h.Model, h.Revision, "upstream")
 	}
 	if err == nil {
-		s.reporter.Limiter().Look(state.Limit, state.Born)
+		s.reporter.Limiter().RecordUpstreamReport(state.Limit, state.Born)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -219,7 +219,7 @@
 }
 
 // logLimit writes the line of a limit that begins, changes or ends.
-func (s *Stager) logLimit(w throttle.Word, by string) {
+func (s *Stager) logLimit(w throttle.LimitInfo, by string) {
 	s.log.Info().Stringer("limit", w).Str("by", by).Msg("the limit of the upstream beside this process")
 }
 
--- a/internal/stager/ports.go
+++ b/internal/stager/ports.go
@@ -36,7 +36,7 @@
 	Life uint64
 	Held []facts.Held
 	// Limit is what the upstream says here of the requests that it takes.
-	Limit throttle.Word
+	Limit throttle.LimitInfo
 	// Leaving says that the upstream is about to end.
 	Leaving bool
 }
--- a/internal/throttle/limiter.go
+++ b/internal/throttle/limiter.go
@@ -15,28 +15,28 @@
 	trialRate Rate = 0.1
 )
 
-// Told is what the process beside an upstream tells of its limit; its Word is Unclear while there is nothing to tell.
-type Told struct {
-	Word
-	// By is the start of that process: one that has started again knows nothing yet.
-	By uint64
+// Announcement is what the process beside an upstream tells of its limit; its Word is Unclear while there is nothing to tell.
+type Announcement struct {
+	LimitInfo
+	// Incarnation is the start of that process: one that has started again knows nothing yet.
+	Incarnation uint64
 	// Permits are there to be given, in parts of one.
 	Permits float64
-	// Reported says that the upstream names the limit to that process itself.
-	Reported bool
+	// FromUpstream says that the upstream names the limit to that process itself.
+	FromUpstream bool
 }
 
 // Limiter is the one that gives permits for an upstream: the process beside it. As there is one of it, what all
 // gateways send together keeps to the limit whatever their number is. It is safe for concurrent use.
 type Limiter struct {
 	// OnChange is told of each limit that begins, changes or ends, and who said so; it is set before use.
-	OnChange func(w Word, by string)
+	OnChange func(w LimitInfo, by string)
 
 	now func() time.Time
 	mu  sync.Mutex
 	// born is the newest start of the upstream that is known.
 	born id.Birth
-	word Word
+	word LimitInfo
 	// reported is true once the upstream has named a limit to this process: from then on nobody else is believed.
 	reported bool
 	overTill time.Time
@@ -50,7 +50,7 @@
 func NewLimiter(now func() time.Time) *Limiter {
 	// Numbers of an earlier start of this process must not be taken for its own.
 	first := uint64(rand.Uint32()) << 24
-	return &Limiter{OnChange: func(Word, string) {}, now: now, issued: first, named: first}
+	return &Limiter{OnChange: func(LimitInfo, string) {}, now: now, issued: first, named: first}
 }
 
 // Who said what a limit is.
@@ -60,16 +60,16 @@
 	byStart    = "a new start of the upstream"
 )
 
-// Look takes what the upstream itself says beside its figures, of which start it is.
-func (l *Limiter) Look(w Word, born id.Birth) {
+// RecordUpstreamReport takes what the upstream itself says beside its figures, of which start it is.
+func (l *Limiter) RecordUpstreamReport(w LimitInfo, born id.Birth) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.start(born)
 	switch {
-	case w.Said == Limited:
+	case w.State == Limited:
 		l.reported = true
 		l.set(w, byUpstream)
-	case w.Said == Unlimited && l.reported:
+	case w.State == Unlimited && l.reported:
 		l.set(w, byUpstream)
 	}
 }
@@ -78,48 +78,48 @@
 func (l *Limiter) start(born id.Birth) {
 	if l.born.Before(born) {
 		l.reported = false
-		if l.word.Said == Limited {
-			l.set(Word{Said: Unlimited}, byStart)
+		if l.word.State == Limited {
+			l.set(LimitInfo{State: Unlimited}, byStart)
 		}
 	}
 	l.born = max(l.born, born)
 }
 
-// Named takes a limit that an answer named to a gateway.
-func (l *Limiter) Named(r Rate, born id.Birth) {
+// RecordGatewayLimit takes a limit that an answer named to a gateway.
+func (l *Limiter) RecordGatewayLimit(r Rate, born id.Birth) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.start(born)
 	switch {
 	case born.Before(l.born):
 	case !l.reported:
-		l.set(Word{Said: Limited, Rate: r}, byGateway)
-	case l.word.Said == Unlimited:
+		l.set(LimitInfo{State: Limited, Rate: r}, byGateway)
+	case l.word.State == Unlimited:
 		// That gateway has missed the end, or an answer of before came late.
 		l.overTill = l.now().Add(overFor)
 	}
 }
 
-// Ended takes word of an answer without a limit to the request that had a permit.
-func (l *Limiter) Ended(permit uint64, born id.Birth) {
+// RecordGatewayEnd takes word of an answer without a limit to the request that had a permit.
+func (l *Limiter) RecordGatewayEnd(permit uint64, born id.Birth) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.reported && !born.Before(l.born) && l.named < permit && permit <= l.issued {
-		l.set(Word{Said: Unlimited}, byGateway)
+		l.set(LimitInfo{State: Unlimited}, byGateway)
 	}
 }
 
 // set takes what is known from now on. The caller holds the lock.
-func (l *Limiter) set(w Word, by string) {
+func (l *Limiter) set(w LimitInfo, by string) {
 	now, old := l.now(), l.word
 	l.word = w
-	if w.Said == Limited {
+	if w.State == Limited {
 		l.named = l.issued
-		if old.Said != Limited {
+		if old.State != Limited {
 			l.bucket = bucket{at: now}
 		}
 		l.bucket.set(l.rate(), now)
-	} else if old.Said == Limited {
+	} else if old.State == Limited {
 		l.overTill = now.Add(overFor)
 	}
 	if w != old {
@@ -135,29 +135,29 @@
 	return max(l.word.Rate, trialRate)
 }
 
-// Permit gives the number of a permit, or 0 where none is left.
-func (l *Limiter) Permit() uint64 {
+// IssuePermit gives the number of a permit, or 0 where none is left.
+func (l *Limiter) IssuePermit() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.word.Said == Limited && !l.bucket.take(l.now()) {
+	if l.word.State == Limited && !l.bucket.take(l.now()) {
 		return 0
 	}
 	l.issued++
 	return l.issued
 }
 
-// Tell is what gateways are told. That a limit has ended is told for some time.
-func (l *Limiter) Tell() Told {
+// Announce is what gateways are told. That a limit has ended is told for some time.
+func (l *Limiter) Announce() Announcement {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
 	switch {
-	case l.word.Said == Limited:
+	case l.word.State == Limited:
 		l.bucket.fill(now)
-		return Told{Word: l.word, Permits: l.bucket.left, Reported: l.reported}
+		return Announcement{LimitInfo: l.word, Permits: l.bucket.left, FromUpstream: l.reported}
 	case now.Before(l.overTill):
-		return Told{Word: Word{Said: Unlimited}}
+		return Announcement{LimitInfo: LimitInfo{State: Unlimited}}
 	default:
-		return Told{}
+		return Announcement{}
 	}
 }
--- a/internal/throttle/plays_test.go
+++ b/internal/throttle/plays_test.go
@@ -31,7 +31,7 @@
 	random   *rand.Rand
 	limiter  *Limiter
 	by       uint64
-	gateways []Known
+	gateways []KnownLimit
 	// weights say how uneven callers are.
 	weights []float64
 	sent    []time.Time
@@ -49,7 +49,7 @@
 
 func newScene(gateways int, limit Rate, uneven bool, seed uint64) *scene {
 	s := &scene{now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, 1)), limit: limit, silent: func(int) bool { return false }}
-	s.gateways = make([]Known, gateways)
+	s.gateways = make([]KnownLimit, gateways)
 	for n := range gateways {
 		w := 1.0
 		if uneven {
@@ -65,7 +65,7 @@
 func (s *scene) restart() {
 	s.by++
 	s.limiter = NewLimiter(func() time.Time { return s.now })
-	s.limiter.Look(Word{Said: Limited, Rate: s.limit}, 1)
+	s.limiter.RecordUpstreamReport(LimitInfo{State: Limited, Rate: s.limit}, 1)
 }
 
 // play goes on for a time with a number of callers a second.
@@ -84,11 +84,11 @@
 }
 
 func (s *scene) tell() {
-	t := s.limiter.Tell()
-	t.By = s.by
+	t := s.limiter.Announce()
+	t.Incarnation = s.by
 	for n := range s.gateways {
 		if !s.silent(n) && s.random.Float64() >= s.lost {
-			s.gateways[n].Hear(t, s.now)
+			s.gateways[n].ApplyAnnouncement(t, s.now)
 		}
 	}
 }
@@ -125,31 +125,31 @@
 }
 
 // offer sends a request of a gateway if it has a permit.
-func (s *scene) offer(k *Known, n int) {
+func (s *scene) offer(k *KnownLimit, n int) {
 	switch {
 	case !k.Limited():
 		s.sent = append(s.sent, s.now)
 	case s.silent(n):
-		k.Alone(s.now, k.Part(len(s.gateways), s.lone), s.random.Float64)
-		if k.Take(s.now) {
+		k.Shared(s.now, k.Share(len(s.gateways), s.lone), s.random.Float64)
+		if k.TakeSharePermit(s.now) {
 			s.sent = append(s.sent, s.now)
 		}
-	case k.Asked(s.now).Permits > 0:
+	case k.Granted(s.now).Permits > 0:
 		s.ask(k)
 	}
 }
 
-func (s *scene) ask(k *Known) {
+func (s *scene) ask(k *KnownLimit) {
 	if s.random.Float64() < s.lost {
 		return
 	}
-	permit := s.limiter.Permit()
-	t := s.limiter.Tell()
-	t.By = s.by
+	permit := s.limiter.IssuePermit()
+	t := s.limiter.Announce()
+	t.Incarnation = s.by
 	if s.random.Float64() < s.lost {
 		return
 	}
-	k.Hear(t, s.now)
+	k.ApplyAnnouncement(t, s.now)
 	if permit > 0 {
 		s.sent = append(s.sent, s.now)
 	}
@@ -257,7 +257,7 @@
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			now := time.Unix(1000, 0)
 			l := NewLimiter(func() time.Time { return now })
-			l.Look(Word{Said: Limited, Rate: 1}, 1)
+			l.RecordUpstreamReport(LimitInfo{State: Limited, Rate: 1}, 1)
 			const most = 4.0
 			var given []time.Time
 			var permits []uint64
@@ -265,15 +265,15 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 				switch rapid.IntRange(0, 3).Draw(t, "what") {
 				case 0:
-					l.Look(Word{Said: Limited, Rate: Rate(rapid.Float64Range(0, most).Draw(t, "rate"))}, 1)
+					l.RecordUpstreamReport(LimitInfo{State: Limited, Rate: Rate(rapid.Float64Range(0, most).Draw(t, "rate"))}, 1)
 				case 1:
-					l.Named(Rate(rapid.Float64Range(0, 1000).Draw(t, "told")), birth(t))
+					l.RecordGatewayLimit(Rate(rapid.Float64Range(0, 1000).Draw(t, "told")), birth(t))
 				case 2:
 					if len(permits) > 0 {
-						l.Ended(rapid.SampledFrom(permits).Draw(t, "permit"), birth(t))
+						l.RecordGatewayEnd(rapid.SampledFrom(permits).Draw(t, "permit"), birth(t))
 					}
 				case 3:
-					if p := l.Permit(); p > 0 {
+					if p := l.IssuePermit(); p > 0 {
 						given, permits = append(given, now), append(permits, p)
 					}
 				}
@@ -290,8 +290,8 @@
 				}
 			}
 			By("a limit that has ended")
-			l.Look(Word{Said: Unlimited}, 1)
-			if l.Permit() == 0 {
+			l.RecordUpstreamReport(LimitInfo{State: Unlimited}, 1)
+			if l.IssuePermit() == 0 {
 				t.Fatalf("no permit after the end of the limit")
 			}
 		})
--- a/internal/throttle/throttle_test.go
+++ b/internal/throttle/throttle_test.go
@@ -14,8 +14,8 @@
 }
 
 var _ = Describe("what an answer says of its upstream's limit", func() {
-	DescribeTable("is read", func(text string, said Said, rate Rate) {
-		Expect(Parse(text)).To(Equal(Word{Said: said, Rate: rate}))
+	DescribeTable("is read", func(text string, said LimitState, rate Rate) {
+		Expect(ParseLimit(text)).To(Equal(LimitInfo{State: said, Rate: rate}))
 	},
 		Entry("none", "", Unlimited, Rate(0)),
 		Entry("a limit", "2.1", Limited, Rate(2.1)),
--- a/internal/throttle/ways_test.go
+++ b/internal/throttle/ways_test.go
@@ -47,7 +47,7 @@
 	if way == "parts" {
 		s.lone = true
 		for n := range s.gateways {
-			s.gateways[n].Answer(Word{Said: Limited, Rate: s.limit}, s.now, s.now, true)
+			s.gateways[n].ApplyAnswer(LimitInfo{State: Limited, Rate: s.limit}, s.now, s.now, true)
 		}
 	}
 }
--- a/internal/throttle/word.go
+++ b/internal/throttle/word.go
@@ -11,43 +11,43 @@
 // Rate is a number of requests a second.
 type Rate float64
 
-// Said is what an answer says of its upstream's limit.
-type Said int
+// LimitState is what an answer says of its upstream's limit.
+type LimitState int
 
 // What answers say: nothing that can be understood, that there is no limit, or a limit.
 const (
-	Unclear Said = iota
+	Unclear LimitState = iota
 	Unlimited
 	Limited
 )
 
-// Word is what one answer says, with the Rate of a Limited one.
-type Word struct {
-	Said Said
+// LimitInfo is what one answer says, with the Rate of a Limited one.
+type LimitInfo struct {
+	State LimitState
 	Rate Rate
 }
 
-// Parse reads the text in which an upstream names its limit; an empty one is that of an upstream that names none. What
+// ParseLimit reads the text in which an upstream names its limit; an empty one is that of an upstream that names none. What
 // is no number, or none that can be kept to, is Unclear.
-func Parse(text string) Word {
+func ParseLimit(text string) LimitInfo {
 	if text == "" {
-		return Word{Said: Unlimited}
+		return LimitInfo{State: Unlimited}
 	}
 	n, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
-	if err != nil || !Valid(n) {
-		return Word{Said: Unclear}
+	if err != nil || !ValidRate(n) {
+		return LimitInfo{State: Unclear}
 	}
-	return Word{Said: Limited, Rate: Rate(n)}
+	return LimitInfo{State: Limited, Rate: Rate(n)}
 }
 
-// Valid says whether a number can be a rate.
-func Valid(n float64) bool {
+// ValidRate says whether a number can be a rate.
+func ValidRate(n float64) bool {
 	return n >= 0 && !math.IsInf(n, 0)
 }
 
 // String implements fmt.Stringer.
-func (w Word) String() string {
-	switch w.Said {
+func (w LimitInfo) String() string {
+	switch w.State {
 	case Unlimited:
 		return "none"
 	case Limited:
