--- a/internal/callerapi/handle.go
+++ b/internal/callerapi/handle.go
@@ -135,7 +135,7 @@
 		refuse(w, requestID, problemKey)
 		return
 	}
-	leave, err := p.limits.Enter(o)
+	leave, err := p.limits.Acquire(o)
 	if err != nil {
 		refuse(w, requestID, problemOf(err))
 		return
--- a/internal/callerapi/problem.go
+++ b/internal/callerapi/problem.go
@@ -65,7 +65,7 @@
 	case errors.As(err, &over):
 		return problem{
 			status: http.StatusTooManyRequests, kind: "over_limit", text: over.Error(), outcome: outcomeNotRun,
-			after: over.After,
+			after: over.RetryAfter,
 		}
 	case errors.As(err, &notRun):
 		return problem{
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -15,8 +15,8 @@
 	"github.com/springrail/springrail/internal/membership"
 )
 
-// ErrOver says that an organisation uses as much as it may; the request was not run.
-var ErrOver = errors.New("over the organisation's limit")
+// ErrOverLimit says that an organisation uses as much as it may; the request was not run.
+var ErrOverLimit = errors.New("over the organisation's limit")
 
 // PartName is what other parts name in their needs.
 const PartName = "limits"
@@ -73,7 +73,7 @@
 
 // Refusal is ErrOver with the time after which the caller may come back.
 type Refusal struct {
-	After time.Duration
+	RetryAfter time.Duration
 	text  string
 }
 
@@ -84,21 +84,21 @@
 
 // Is makes errors.Is find ErrOver.
 func (r *Refusal) Is(target error) bool {
-	return target == ErrOver
+	return target == ErrOverLimit
 }
 
-// Enter takes a place for a request of an organisation; leave gives it back. The error is a *Refusal.
-func (l *Limiter) Enter(o *pb.Organisation) (leave func(), err error) {
+// Acquire takes a place for a request of an organisation; leave gives it back. The error is a *Refusal.
+func (l *Limiter) Acquire(o *pb.Organisation) (leave func(), err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	u := l.usage(o)
 	if u.inFlight >= l.share(float64(l.concurrency(o))) {
-		return nil, trace.Wrap(&Refusal{After: busyRetry, text: "too many requests of the organisation in flight"})
+		return nil, trace.Wrap(&Refusal{RetryAfter: busyRetry, text: "too many requests of the organisation in flight"})
 	}
 	r := u.arrivals.ReserveN(l.now(), 1)
 	if d := r.DelayFrom(l.now()); d > 0 {
 		r.CancelAt(l.now())
-		return nil, trace.Wrap(&Refusal{After: d, text: "too many requests of the organisation a second"})
+		return nil, trace.Wrap(&Refusal{RetryAfter: d, text: "too many requests of the organisation a second"})
 	}
 	u.inFlight++
 	return func() { l.leave(u) }, nil
