--- a/internal/decide/door.go
+++ b/internal/decide/door.go
@@ -19,9 +19,9 @@
 	desk     *gateway.Desk
 	facts    *facts.Facts
 	tracker  *placement.Tracker
-	offers   *placement.Offers
-	patience *placement.Patience
-	budget   *placement.Budget
+	offers   *placement.DemandMeter
+	patience *placement.PatienceTracker
+	budget   *placement.RetryBudget
 	random   *rand.Rand
 	// slowness is what a way that learns from its own requests has learnt.
 	slowness map[id.Instance]float64
@@ -30,19 +30,19 @@
 
 func (p *play) newDoor(domain id.Domain, r *rand.Rand) *door {
 	d := &door{
-		play: p, domain: domain, facts: facts.New(p.now), tracker: placement.NewTracker(p.now), offers: placement.NewOffers(p.now),
-		patience: placement.NewPatience(p.now), random: r, slowness: map[id.Instance]float64{},
+		play: p, domain: domain, facts: facts.New(p.now), tracker: placement.NewTracker(p.now), offers: placement.NewDemandMeter(p.now),
+		patience: placement.NewPatienceTracker(p.now), random: r, slowness: map[id.Instance]float64{},
 	}
 	count := func() int { return len(p.doors) }
-	rule := placement.BudgetRule{Ratio: settings.RepeatRatio, Slack: settings.RepeatSlack, Window: settings.RepeatWindow}
-	d.budget = placement.NewBudget(rule, count, p.now)
+	rule := placement.RetryBudgetRule{Ratio: settings.RepeatRatio, Slack: settings.RepeatSlack, Window: settings.RepeatWindow}
+	d.budget = placement.NewRetryBudget(rule, count, p.now)
 	d.facts.SetWanted(model, facts.Naming{Revision: 1, Date: dating.Bracket{After: p.now()}})
 	d.desk = &gateway.Desk{
 		Facts: d.facts, Domain: domain, SwapWithin: seconds(p.scenario.SwapWithin), Now: p.now, Random: func() *rand.Rand { return r },
 		Load: gateway.Load{Tracker: d.tracker, Offers: d.offers, Demand: func(id.Pool) placement.Demand { return d.demand() }, Gateways: count},
 	}
 	if p.way.bend != nil {
-		d.desk.Bend = func(w *placement.Outlook, l []placement.Candidate) { p.way.bend(d, w, l) }
+		d.desk.Bend = func(w *placement.Forecast, l []placement.Candidate) { p.way.bend(d, w, l) }
 	}
 	if p.way.retry != nil {
 		d.desk.Retry = func(room, left time.Duration) time.Duration { return p.way.retry(room, left, r) }
@@ -61,10 +61,10 @@
 // demand is what callers bring to all gateways as this one knows it.
 func (d *door) demand() placement.Demand {
 	most := placement.Demand{}
-	most.Raise(d.domain, placement.Offered{First: d.offers.First.PerSecond(pool), Late: d.offers.Late.PerSecond(pool)})
+	most.MergeMax(d.domain, placement.OfferedLoad{OnTime: d.offers.OnTime.PerSecond(pool), Late: d.offers.Late.PerSecond(pool)})
 	for _, l := range d.play.offered {
 		for n, o := range l {
-			most.Raise(n, o)
+			most.MergeMax(n, o)
 		}
 	}
 	return most
@@ -82,7 +82,7 @@
 	sum := placement.Demand{}
 	for _, d := range p.doors {
 		o := sum[d.domain]
-		o.First += d.offers.First.PerSecond(pool)
+		o.OnTime += d.offers.OnTime.PerSecond(pool)
 		o.Late += d.offers.Late.PerSecond(pool)
 		sum[d.domain] = o
 	}
@@ -115,7 +115,7 @@
 func (d *door) take(q *request, patience time.Duration) *flight {
 	p := d.play
 	r := p.routes[q.kind.Name]
-	lost := d.patience.Lost(r.Name, patience)
+	lost := d.patience.TimeLost(r.Name, patience)
 	if p.way.forgetLost {
 		lost = 0
 	}
@@ -124,7 +124,7 @@
 		Catalog: p.catalog, Pool: pool, Model: model, Prompt: q.prompt, Arrived: p.now(), Lost: lost, CallerGives: p.now().Add(patience),
 		Tried: map[id.Instance]bool{},
 	}
-	d.budget.Request(pool)
+	d.budget.RecordRequest(pool)
 	f.leave = p.after(q.kind.leaves(), f.giveUp)
 	f.end = p.on(f.deadline, f.giveUp)
 	f.attempt()
@@ -144,7 +144,7 @@
 	f.query.Tried[c.Instance] = true
 	e := p.engine(c.Instance)
 	if e.domain != d.domain {
-		d.offers.Far.Came(pool)
+		d.offers.CrossDomain.Record(pool)
 	}
 	f.sends++
 	s := &send{flight: f, choice: c, engine: e, mark: d.tracker.Begin(c.Address, f.query.Prompt), at: p.at}
@@ -167,7 +167,7 @@
 	if !gateway.Repeatable(f.route, len(f.query.Tried), notRun, f.query.HeadSent) {
 		return false
 	}
-	return f.sends == 0 || f.door.budget.Take(pool)
+	return f.sends == 0 || f.door.budget.TakeRetry(pool)
 }
 
 // refusedRetry is when a caller may come back whose request an upstream itself refused.
--- a/internal/decide/report.go
+++ b/internal/decide/report.go
@@ -47,7 +47,7 @@
 	if e.left > 0 {
 		e.left--
 	}
-	r := placement.LoadReport{Born: e.born, Pace: 1, Held: e.holds(), Closed: e.closed, Down: !e.up}
+	r := placement.LoadReport{Incarnation: e.born, Slowdown: 1, Held: e.holds(), Closed: e.closed, Down: !e.up}
 	for _, j := range e.places {
 		if j.writing && !j.gone {
 			r.Running++
@@ -70,7 +70,7 @@
 	near := l[0].domain == e.domain
 	var to []*door
 	for _, d := range l {
-		each := d.offers.Far.Total() > eachShare*d.offers.Total()
+		each := d.offers.CrossDomain.Total() > eachShare*d.offers.Total()
 		if !near && !toAll && !each {
 			continue
 		}
@@ -85,9 +85,9 @@
 	p.after(p.between(l[0].domain, e.domain), func() {
 		for _, d := range to {
 			q := r
-			q.Taken, q.MadeAfter, q.Every = p.now(), made, e.every
-			if !near && d.offers.Far.Total() <= eachShare*d.offers.Total() {
-				q.Until = q.Taken.Add(time.Duration(farLives * float64(farEvery)))
+			q.ReceivedAt, q.EchoedStamp, q.Interval = p.now(), made, e.every
+			if !near && d.offers.CrossDomain.Total() <= eachShare*d.offers.Total() {
+				q.ValidUntil = q.ReceivedAt.Add(time.Duration(farLives * float64(farEvery)))
 			}
 			d.tracker.SetReport(e.address, q)
 		}
--- a/internal/decide/send.go
+++ b/internal/decide/send.go
@@ -11,7 +11,7 @@
 	flight *flight
 	choice placement.Choice
 	engine *engine
-	mark   *placement.Flight
+	mark   *placement.Attempt
 	job    *job
 	at     time.Duration
 	begun  bool
@@ -54,7 +54,7 @@
 // unsent is an engine that takes no connection.
 func (s *send) unsent() {
 	s.reach(func() {
-		s.mark.Failed()
+		s.mark.RecordFailure()
 		s.close()
 		s.flight.sends--
 		s.flight.failed(true)
@@ -64,8 +64,8 @@
 // cut is an exchange that broke off.
 func (s *send) cut() {
 	s.reach(func() {
-		if r, ok := s.flight.door.tracker.Fresh(s.choice.Address); !ok || !r.Closed {
-			s.mark.Failed()
+		if r, ok := s.flight.door.tracker.FreshReport(s.choice.Address); !ok || !r.Closed {
+			s.mark.RecordFailure()
 		}
 		s.close()
 		s.flight.resume()
@@ -86,11 +86,11 @@
 	}
 	d, q := s.flight.door, s.flight.query
 	q.Attempts = s.flight.sends
-	if _, no := d.desk.Choose(&q); !d.budget.Left(pool) || (no != nil && !d.play.way.leaveSilent) {
+	if _, no := d.desk.Choose(&q); !d.budget.RetryAvailable(pool) || (no != nil && !d.play.way.leaveSilent) {
 		s.stall = s.engine.play.after(look, s.stalled)
 		return
 	}
-	s.mark.Stalled()
+	s.mark.RecordStall()
 	s.close()
 	s.flight.resume()
 }
@@ -100,7 +100,7 @@
 	if s.over || s.begun {
 		return
 	}
-	s.mark.Stalled()
+	s.mark.RecordStall()
 	s.close()
 	s.flight.resume()
 }
@@ -111,7 +111,7 @@
 	s.begun = true
 	s.stall.stop()
 	s.begin.stop()
-	took := s.mark.Started()
+	took := s.mark.RecordFirstEvent()
 	f.door.learn(s, took)
 	if f.query.HeadSent {
 		return
--- a/internal/decide/way.go
+++ b/internal/decide/way.go
@@ -12,7 +12,7 @@
 type Way struct {
 	Name, Text string
 	// bend changes what a choice rests on.
-	bend func(d *door, w *placement.Outlook, l []placement.Candidate)
+	bend func(d *door, w *placement.Forecast, l []placement.Candidate)
 	// retry stands in for placement.RetryAfter.
 	retry func(room, left time.Duration, r *rand.Rand) time.Duration
 	// reportEvery multiplies the time between reports, where above 0.
@@ -64,22 +64,22 @@
 	return nil
 }
 
-func noLayout(_ *door, w *placement.Outlook, _ []placement.Candidate) {
+func noLayout(_ *door, w *placement.Forecast, _ []placement.Candidate) {
 	w.Demand = nil
 }
 
-func noAdmission(_ *door, w *placement.Outlook, _ []placement.Candidate) {
-	w.Fits = nil
+func noAdmission(_ *door, w *placement.Forecast, _ []placement.Candidate) {
+	w.CanAdmit = nil
 }
 
 // standingShare is the share of the aim that the code as it stands lets a prediction fill.
 const standingShare = 0.9
 
-func aimShare(share float64) func(*door, *placement.Outlook, []placement.Candidate) {
-	return func(d *door, w *placement.Outlook, _ []placement.Candidate) {
-		m := placement.NewModel(d.play.catalog.Services[pool].Engine)
+func aimShare(share float64) func(*door, *placement.Forecast, []placement.Candidate) {
+	return func(d *door, w *placement.Forecast, _ []placement.Candidate) {
+		m := placement.NewLatencyModel(d.play.catalog.Services[pool].Engine)
 		aim := time.Duration(float64(d.play.catalog.Aim(pool)) * share / standingShare)
-		w.Fits = func(c *placement.Candidate) bool { return placement.InTime(m.Admission(c), 0, aim) }
+		w.CanAdmit = func(c *placement.Candidate) bool { return placement.InTime(m.AdmissionLatency(c), 0, aim) }
 	}
 }
 
@@ -93,16 +93,16 @@
 	return min(least+time.Duration(r.Float64()*float64(span)), time.Duration(heeded*float64(left)))
 }
 
-func ownRate(d *door, w *placement.Outlook, _ []placement.Candidate) {
-	own := placement.Offered{First: d.offers.First.PerSecond(pool), Late: d.offers.Late.PerSecond(pool)}
+func ownRate(d *door, w *placement.Forecast, _ []placement.Candidate) {
+	own := placement.OfferedLoad{OnTime: d.offers.OnTime.PerSecond(pool), Late: d.offers.Late.PerSecond(pool)}
 	w.Demand = placement.Demand{}
 	for i, n := range d.play.scenario.Domains {
 		k := float64(len(d.play.byDomain[i]))
-		w.Demand[id.Domain(n.Name)] = placement.Offered{First: k * own.First, Late: k * own.Late}
+		w.Demand[id.Domain(n.Name)] = placement.OfferedLoad{OnTime: k * own.OnTime, Late: k * own.Late}
 	}
 }
 
-func othersAsOne(d *door, w *placement.Outlook, l []placement.Candidate) {
+func othersAsOne(d *door, w *placement.Forecast, l []placement.Candidate) {
 	const others id.Domain = "others"
 	sum := placement.Demand{}
 	for n, o := range w.Demand {
@@ -110,7 +110,7 @@
 			n = others
 		}
 		s := sum[n]
-		sum[n] = placement.Offered{First: s.First + o.First, Late: s.Late + o.Late}
+		sum[n] = placement.OfferedLoad{OnTime: s.OnTime + o.OnTime, Late: s.Late + o.Late}
 	}
 	w.Demand = sum
 	for i := range l {
@@ -120,21 +120,21 @@
 	}
 }
 
-func noReadingBetween(_ *door, w *placement.Outlook, _ []placement.Candidate) {
-	later := w.Later
-	w.Later = func(c *placement.Candidate, d time.Duration) {
+func noReadingBetween(_ *door, w *placement.Forecast, _ []placement.Candidate) {
+	later := w.Advance
+	w.Advance = func(c *placement.Candidate, d time.Duration) {
 		later(c, d)
-		c.Spare = 0
+		c.SpareTokens = 0
 	}
 }
 
-func noCrossingCost(d *door, _ *placement.Outlook, l []placement.Candidate) {
+func noCrossingCost(d *door, _ *placement.Forecast, l []placement.Candidate) {
 	for i := range l {
 		l[i].Domain = d.domain
 	}
 }
 
-func noSuspects(_ *door, _ *placement.Outlook, l []placement.Candidate) {
+func noSuspects(_ *door, _ *placement.Forecast, l []placement.Candidate) {
 	for i := range l {
 		l[i].Suspect = false
 	}
@@ -143,9 +143,9 @@
 // slowWeight is the weight of the newest request in what a gateway learns of an upstream's slowness.
 const slowWeight = 0.1
 
-func slowness(d *door, _ *placement.Outlook, l []placement.Candidate) {
+func slowness(d *door, _ *placement.Forecast, l []placement.Candidate) {
 	for i := range l {
-		l[i].Pace = max(1, l[i].Pace, d.slowness[l[i].Instance])
+		l[i].Slowdown = max(1, l[i].Slowdown, d.slowness[l[i].Instance])
 	}
 }
 
--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -98,7 +98,7 @@
 	t.answering.Store(true)
 	f := t.flight
 	f.begun.Store(true)
-	took := t.mark.Started()
+	took := t.mark.RecordFirstEvent()
 	if !f.headSent {
 		f.first = f.gateway.now().Sub(f.arrived)
 		f.gateway.tally.observe(histTime, f.first)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -50,7 +50,7 @@
 		f.predicted = c.Predicted
 	}
 	if f.ask.Model != "" && c.Domain != g.domain {
-		g.load.Offers.Far.Came(f.pool)
+		g.load.Offers.CrossDomain.Record(f.pool)
 	}
 	f.attempts++
 	t := &attempt{
@@ -86,7 +86,7 @@
 		return f.heldBack()
 	case errors.Is(err, upconn.ErrNotSent):
 		f.attempts--
-		t.mark.Failed()
+		t.mark.RecordFailure()
 		return notRun("no connection to the upstream", refusedRetry)
 	case err != nil:
 		return t.broke("the upstream broke off before its answer")
@@ -106,7 +106,7 @@
 	f.gateway.dialect.Prepare(h, s)
 	return &upconn.Request{
 		Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: h, Body: f.body, Rest: f.rest, Length: r.ContentLength,
-		Born: c.Born, May: func(dialled time.Duration) bool { return f.may(c, dialled) },
+		Born: c.Incarnation, May: func(dialled time.Duration) bool { return f.may(c, dialled) },
 	}
 }
 
@@ -115,9 +115,9 @@
 func (f *flight) may(c placement.Choice, dialled time.Duration) bool {
 	f.held = ""
 	switch {
-	case f.gateway.facts.SaysLeaving(c.Instance, c.Born):
+	case f.gateway.facts.SaysLeaving(c.Instance, c.Incarnation):
 		f.held = heldLeaving
-	case f.gateway.load.Tracker.Resting(c.Address, c.Instance) > 0:
+	case f.gateway.load.Tracker.RestRemaining(c.Address, c.Instance) > 0:
 		f.held = heldResting
 	case !f.inTime(c, dialled):
 		f.held = heldVersion
@@ -159,7 +159,7 @@
 	}
 	g := f.gateway
 	until := g.facts.Until(f.ask.Model, c.Revision, g.settings.SwapWithin)
-	return until.IsZero() || !g.now().Add(max(c.Margin, c.Wait+wayDialled*max(dialled, f.asked))).After(until)
+	return until.IsZero() || !g.now().Add(max(c.Margin, c.ExpectedWait+wayDialled*max(dialled, f.asked))).After(until)
 }
 
 // wayDialled bounds how many times longer than the dial or the permit a request may take on the link: the queue may
@@ -170,7 +170,7 @@
 type attempt struct {
 	flight *flight
 	choice placement.Choice
-	mark   *placement.Flight
+	mark   *placement.Attempt
 	// permit is the number of the permit that it has; 0 for none.
 	permit   uint64
 	exchange *upconn.Exchange
@@ -207,7 +207,7 @@
 
 // closed says whether an upstream is about to load weights.
 func (g *Gateway) closed(address string) bool {
-	r, ok := g.load.Tracker.Fresh(address)
+	r, ok := g.load.Tracker.FreshReport(address)
 	return ok && r.Closed
 }
 
--- a/internal/gateway/attempt_end_test.go
+++ b/internal/gateway/attempt_end_test.go
@@ -50,7 +50,7 @@
 	It("says that the upstream was about to load weights", func() {
 		b.upstream("u", "engines", func(q *http.Request, _ string, c net.Conn) {
 			stream(c, q, "", event)
-			b.tracker.SetReport(b.facts.Instance("u").Address, placement.LoadReport{Closed: true, Taken: time.Now()})
+			b.tracker.SetReport(b.facts.Instance("u").Address, placement.LoadReport{Closed: true, ReceivedAt: time.Now()})
 		})
 		_, _, _ = b.ask("POST", "/p/", "x", xModel, "m", "X-Hang-Up", "1")
 		ended(endLoading)
--- a/internal/gateway/begun_test.go
+++ b/internal/gateway/begun_test.go
@@ -66,7 +66,7 @@
 		}),
 		Entry("its upstream's entry goes", func(b *testbed) { b.facts.DropInstance("u", 1) }),
 		Entry("its upstream is about to load weights", func(b *testbed) {
-			b.tracker.SetReport(b.facts.Instance("u").Address, placement.LoadReport{Closed: true, Taken: time.Now()})
+			b.tracker.SetReport(b.facts.Instance("u").Address, placement.LoadReport{Closed: true, ReceivedAt: time.Now()})
 		}),
 		Entry("its model's version is over", func(b *testbed) {
 			b.gateway.settings.SwapWithin = 100 * time.Millisecond
@@ -84,7 +84,7 @@
 		r := route(catalog.Streaming, "engines")
 		r.Timeout = 12 * time.Second
 		b := newTestbed(r)
-		b.gateway.budget = placement.NewBudget(placement.BudgetRule{Slack: streams, Window: time.Minute}, func() int { return 1 }, time.Now)
+		b.gateway.budget = placement.NewRetryBudget(placement.RetryBudgetRule{Slack: streams, Window: time.Minute}, func() int { return 1 }, time.Now)
 		pausing := func(q *http.Request, _ string, c net.Conn) {
 			after, _ := strconv.Atoi(q.Header.Get(xAfter))
 			random := rand.New(rand.NewPCG(uint64(len(q.Header.Get(xRequest))), uint64(after)+uint64(time.Now().UnixNano())))
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -39,14 +39,14 @@
 			ID: id.Instance(fmt.Sprint("i-", n)), Born: 5, Pool: "engines", Address: address, Domain: id.Domain(fmt.Sprint(n % domains)),
 			Slots: 12, Held: held, Seen: id.Position(n),
 		})
-		t.SetReport(address, placement.LoadReport{Born: 5, Running: n % 12, Waiting: n % 3, Pace: 1, Held: held, Taken: now.Add(-time.Duration(n%200) * time.Millisecond)})
+		t.SetReport(address, placement.LoadReport{Incarnation: 5, Running: n % 12, Waiting: n % 3, Slowdown: 1, Held: held, ReceivedAt: now.Add(-time.Duration(n%200) * time.Millisecond)})
 	}
 	demand := placement.Demand{}
 	for d := range domains {
-		demand.Raise(id.Domain(fmt.Sprint(d)), placement.Offered{First: 40})
+		demand.MergeMax(id.Domain(fmt.Sprint(d)), placement.OfferedLoad{OnTime: 40})
 	}
 	load := Load{
-		Tracker: t, Offers: placement.NewOffers(clock), Gateways: func() int { return 350 },
+		Tracker: t, Offers: placement.NewDemandMeter(clock), Gateways: func() int { return 350 },
 		Demand: func(id.Pool) placement.Demand { return demand },
 	}
 	g := New(NewSettings(), testDialect(), f, load, unsuspecting(), (&net.Dialer{}).DialContext, "0", &log.Logger{Level: log.PanicLevel})
--- a/internal/gateway/broken.go
+++ b/internal/gateway/broken.go
@@ -18,13 +18,13 @@
 		return &attemptError{text: "the upstream stalled"}
 	case endVersionOver:
 		t.left()
-		t.mark.Stalled()
+		t.mark.RecordStall()
 		return &attemptError{text: "the upstream stalled"}
 	case endLoading:
 		// It ends its requests to load weights, and there is nothing wrong with it, or else it has crashed under one of them.
 		f.gateway.witness.Broke(t.at(), f.presence())
 	case endBrokeOff:
-		t.mark.Failed()
+		t.mark.RecordFailure()
 		f.gateway.pool.Forget(t.choice.Address)
 		f.gateway.witness.Broke(t.at(), f.presence())
 	}
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -49,7 +49,7 @@
 
 // at is the start of the upstream that the request was sent to.
 func (t *attempt) at() quarantine.Start {
-	return quarantine.Start{Address: t.choice.Address, Instance: t.choice.Instance, Born: t.choice.Born}
+	return quarantine.Start{Address: t.choice.Address, Instance: t.choice.Instance, Born: t.choice.Incarnation}
 }
 
 // left notes that the request was given up at its upstream, which may begin it all the same.
--- a/internal/gateway/decision.go
+++ b/internal/gateway/decision.go
@@ -65,7 +65,7 @@
 // version are closed, and load, when its time is over at the latest. It guards against callers that come back into the
 // same seconds of a swap.
 func (k *decision) swapRetry(now time.Time) time.Duration {
-	return max(placement.NoUpstreamRetry, k.until.Sub(now))
+	return max(placement.NoUpstreamRetryAfter, k.until.Sub(now))
 }
 
 // leftOut counts the upstreams of the pool that could not be chosen, each under the first reason that held.
@@ -87,7 +87,7 @@
 	switch {
 	case tried:
 		o.tried++
-	case c.Narrow:
+	case c.Congested:
 		o.narrow++
 	case c.Suspect:
 		o.suspect++
--- a/internal/gateway/decision_test.go
+++ b/internal/gateway/decision_test.go
@@ -66,8 +66,8 @@
 		} {
 			instance(n, f)
 		}
-		b.tracker.SetReport("c", placement.LoadReport{Closed: true, Taken: time.Now()})
-		b.tracker.SetReport("d", placement.LoadReport{Down: true, Taken: time.Now()})
+		b.tracker.SetReport("c", placement.LoadReport{Closed: true, ReceivedAt: time.Now()})
+		b.tracker.SetReport("d", placement.LoadReport{Down: true, ReceivedAt: time.Now()})
 		ask()
 		l := lines()
 		Expect(l.Why).To(Equal("no upstream"))
@@ -79,7 +79,7 @@
 	It("names the upstream that came nearest, its wait, the aim and the age of its report", func() {
 		instance("a", func(*facts.Instance) {})
 		b.tracker.SetReport("a", placement.LoadReport{
-			Running: 4, Waiting: 400, Taken: time.Now(), Held: []facts.Held{{Model: "m", Revision: 1}},
+			Running: 4, Waiting: 400, ReceivedAt: time.Now(), Held: []facts.Held{{Model: "m", Revision: 1}},
 		})
 		ask()
 		l := lines()
--- a/internal/gateway/desk.go
+++ b/internal/gateway/desk.go
@@ -22,7 +22,7 @@
 	Random     func() *rand.Rand
 	// Bend changes what a choice rests on, and Retry stands in for placement.RetryAfter; both are nil but in comparisons of
 	// one way to decide with another.
-	Bend  func(w *placement.Outlook, l []placement.Candidate)
+	Bend  func(w *placement.Forecast, l []placement.Candidate)
 	Retry func(room, left time.Duration) time.Duration
 }
 
@@ -62,7 +62,7 @@
 func (d *Desk) Choose(q *Query) (placement.Choice, *Refusal) {
 	s := q.Catalog.Services[q.Pool]
 	if s == nil {
-		return placement.Choice{}, d.noRoom(q, "no such pool", placement.NoUpstreamRetry)
+		return placement.Choice{}, d.noRoom(q, "no such pool", placement.NoUpstreamRetryAfter)
 	}
 	q.decision = decision{}
 	scratch := candidateLists.Get().(*[]placement.Candidate)
@@ -72,17 +72,17 @@
 	if s.Engine != nil {
 		return d.chooseEngine(q, s.Engine, l)
 	}
-	w := &placement.Outlook{First: placement.PlainWait, Domain: d.Domain}
+	w := &placement.Forecast{PredictFirstEvent: placement.PredictPlainService, Domain: d.Domain}
 	c, ok := placement.Choose(l, q.Tried, w, d.Random())
 	if !ok {
-		return c, d.noUpstream(q, placement.NoUpstreamRetry)
+		return c, d.noUpstream(q, placement.NoUpstreamRetryAfter)
 	}
 	return c, nil
 }
 
 // chooseEngine picks a model engine, if a place is left there in which the request would begin in time.
 func (d *Desk) chooseEngine(q *Query, e *catalog.Engine, l []placement.Candidate) (placement.Choice, *Refusal) {
-	m := placement.NewModel(e)
+	m := placement.NewLatencyModel(e)
 	passed := q.Lost + d.Now().Sub(q.Arrived)
 	if len(q.Tried) > 0 {
 		// The request has been offered to an upstream already: late is better than not at all.
@@ -97,11 +97,11 @@
 	if !ok {
 		return c, d.noUpstream(q, q.decision.swapRetry(d.Now()))
 	}
-	usual := m.Admission(&c.Candidate)
+	usual := m.AdmissionLatency(&c.Candidate)
 	k := &q.decision
-	k.nearest, k.wait, k.passed, k.aim, k.age, k.known = c.Address, usual, passed, aim, c.Age, c.Known
+	k.nearest, k.wait, k.passed, k.aim, k.age, k.known = c.Address, usual, passed, aim, c.Age, c.Fresh
 	// A stream that has begun is not refused any more.
-	if q.HeadSent || c.Room {
+	if q.HeadSent || c.HasCapacity {
 		return c, nil
 	}
 	if c.Limit != nil {
@@ -130,20 +130,20 @@
 		return d.noRoom(q, "no upstream", retry)
 	}
 	left := q.CallerGives.Sub(d.Now())
-	return &Refusal{Why: why, Retry: placement.RetrySpread(due, left, d.Random())}
+	return &Refusal{Why: why, Retry: placement.SpreadRetryAfter(due, left, d.Random())}
 }
 
 // outlook is what is expected until the next reports come, which are twice as far apart as they are old on the mean.
-func (d *Desk) outlook(q *Query, m placement.Model, e *catalog.Engine, l []placement.Candidate, passed, aim time.Duration) *placement.Outlook {
+func (d *Desk) outlook(q *Query, m placement.LatencyModel, e *catalog.Engine, l []placement.Candidate, passed, aim time.Duration) *placement.Forecast {
 	late := !placement.InTime(0, passed, aim)
 	if q.Attempts == 0 && len(q.Declined) == 0 {
-		d.Load.Offers.Came(q.Pool, late)
+		d.Load.Offers.Record(q.Pool, late)
 	}
-	return &placement.Outlook{
-		First:   func(c *placement.Candidate) time.Duration { return m.FirstEvent(c, q.Prompt) },
-		Fits:    func(c *placement.Candidate) bool { return placement.InTime(m.Admission(c), 0, aim) },
-		Later:   m.Later,
-		Horizon: 2 * placement.MeanAge(l, d.Domain), Prompt: e.UsualPrompt, Demand: d.Load.Demand(q.Pool), Domain: d.Domain, Late: late,
+	return &placement.Forecast{
+		PredictFirstEvent:   func(c *placement.Candidate) time.Duration { return m.FirstEvent(c, q.Prompt) },
+		CanAdmit:    func(c *placement.Candidate) bool { return placement.InTime(m.AdmissionLatency(c), 0, aim) },
+		Advance:   m.Advance,
+		Horizon: 2 * placement.MeanReportAge(l, d.Domain), UsualPrompt: e.UsualPrompt, Demand: d.Load.Demand(q.Pool), Domain: d.Domain, Late: late,
 	}
 }
 
@@ -155,7 +155,7 @@
 	// swapCaution is how many times the predicted wait a request is taken to wait; one in ten still takes longer.
 	swapCaution = 2
 	// swapArrival is the least time for the way to the upstream, on a link that is shared with chunks; see
-	// placement.Way for what is added.
+	// placement.Path for what is added.
 	swapArrival = 400 * time.Millisecond
 	// burstMargin is the margin of a version whose time is running out already while the chunks of a still newer one
 	// may just begin to queue on the way, burstFor after that is named: six that are asked for at once take 1.9 s of a
@@ -177,10 +177,10 @@
 // candidates adds the upstreams that may take the request now to a list.
 func (d *Desk) candidates(q *Query, s *catalog.Service, l []placement.Candidate) []placement.Candidate {
 	usual := 0.0
-	var m placement.Model
+	var m placement.LatencyModel
 	if s.Engine != nil {
 		usual = s.Engine.UsualPrompt
-		m = placement.NewModel(s.Engine)
+		m = placement.NewLatencyModel(s.Engine)
 	}
 	q.newest = d.Facts.Wanted(q.Model).Revision
 	for _, i := range d.Facts.Instances() {
@@ -228,7 +228,7 @@
 
 // fits says whether an upstream's version may still take the request: it must begin there before the time of that
 // version is over, and a stream that goes on elsewhere must find the version that it began with.
-func (d *Desk) fits(q *Query, m placement.Model, c *placement.Candidate) bool {
+func (d *Desk) fits(q *Query, m placement.LatencyModel, c *placement.Candidate) bool {
 	if q.Model == "" {
 		return true
 	}
@@ -237,10 +237,10 @@
 		return false
 	}
 	wait := time.Duration(swapCaution * float64(m.FirstEvent(c, q.Prompt)))
-	way, passage := c.Way.Bears(d.Now(), d.SwapWithin)
-	if c.Narrow || d.behind(c) {
+	way, passage := c.Path.MaxDelay(d.Now(), d.SwapWithin)
+	if c.Congested || d.behind(c) {
 		// What comes of a sudden can't be seen before: a configuration of 0.6 MB took 5 s of a link of 0.46 Mbit/s that had been clear.
-		way, passage = d.SwapWithin, placement.Queued
+		way, passage = d.SwapWithin, placement.PathQueued
 	}
 	margin := max(swapMargin, wait+max(swapArrival, way))
 	if c.Revision < q.newest && d.Now().Sub(d.Facts.Overtaken(q.Model, c.Revision)) < burstFor {
@@ -249,17 +249,17 @@
 	if q.HeadSent {
 		margin = max(margin, swapResume)
 	}
-	c.Wait, c.Margin = wait, margin
+	c.ExpectedWait, c.Margin = wait, margin
 	if c.Revision >= q.newest {
 		return true
 	}
 	until := d.Facts.Until(q.Model, c.Revision, d.SwapWithin)
-	c.Prove = !until.IsZero() && until.Sub(d.Now()) < min(proveLast, d.SwapWithin/2)
-	if c.Revision >= d.Facts.Required(q.Model, d.SwapWithin-margin) && (!c.Prove || !q.declined(c)) {
+	c.NeedsProbe = !until.IsZero() && until.Sub(d.Now()) < min(proveLast, d.SwapWithin/2)
+	if c.Revision >= d.Facts.Required(q.Model, d.SwapWithin-margin) && (!c.NeedsProbe || !q.declined(c)) {
 		return true
 	}
 	q.decision.note(until)
-	if passage == placement.Queued {
+	if passage == placement.PathQueued {
 		q.decision.out.queued++
 	} else {
 		q.decision.out.over++
@@ -277,7 +277,7 @@
 // configuration says nothing of whether the VM has it.
 func (d *Desk) behind(c *placement.Candidate) bool {
 	newest := d.Facts.Catalog()
-	return newest != nil && c.Config > 0 && c.Config < newest.Revision
+	return newest != nil && c.ConfigVersion > 0 && c.ConfigVersion < newest.Revision
 }
 
 // serves says whether an upstream holds the model whole, and in which version; a fresh report goes before the list.
@@ -299,7 +299,7 @@
 		return 0, false
 	case ok:
 		held = l.Held
-	case u.Born.Before(l.Born):
+	case u.Born.Before(l.Incarnation):
 		// The list has the upstream as it was before it started again.
 		held = nil
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -106,7 +106,7 @@
 	dial := (&net.Dialer{Timeout: time.Second}).DialContext
 	quiet := &log.Logger{Level: log.PanicLevel}
 	load := Load{
-		Tracker: b.tracker, Offers: placement.NewOffers(time.Now), Gateways: func() int { return 1 },
+		Tracker: b.tracker, Offers: placement.NewDemandMeter(time.Now), Gateways: func() int { return 1 },
 		Permits: Permits{Ask: func(context.Context, string, id.Birth) (uint64, bool) { return 1, true }},
 		Demand:  func(id.Pool) placement.Demand { return placement.Demand{} },
 	}
@@ -238,14 +238,14 @@
 		b.upstream("u", "engines", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 200, "", "ran") })
 		_, _, err := b.ask("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(b.gateway.load.Offers.Far.Total()).To(BeZero())
+		Expect(b.gateway.load.Offers.CrossDomain.Total()).To(BeZero())
 		i := *b.facts.Instances()[0]
 		i.Domain = "elsewhere"
 		i.Seen++
 		b.facts.SetInstance(&i)
 		_, _, err = b.ask("POST", "/p/", "x", xModel, "m", xRequest, "2")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(b.gateway.load.Offers.Far.Total()).NotTo(BeZero())
+		Expect(b.gateway.load.Offers.CrossDomain.Total()).NotTo(BeZero())
 	})
 
 	It("is promised not to have run where there is no upstream, with a time to come back", func() {
@@ -349,7 +349,7 @@
 			ID: "dead", Pool: "engines", Address: dead, Domain: "d", Slots: 4, Held: []facts.Held{{Model: "m", Revision: 1}},
 		})
 		for _, i := range b.facts.Instances() {
-			l := placement.LoadReport{Held: i.Held, Taken: time.Now().Add(time.Minute)}
+			l := placement.LoadReport{Held: i.Held, ReceivedAt: time.Now().Add(time.Minute)}
 			if i.Address != dead {
 				l.Running = 2
 			}
--- a/internal/gateway/hedge.go
+++ b/internal/gateway/hedge.go
@@ -89,7 +89,7 @@
 		return
 	}
 	defer close(h.done)
-	t.mark.Stalled()
+	t.mark.RecordStall()
 	ok := h.run()
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -122,7 +122,7 @@
 	if !f.attemptsLeft() || len(f.tried) > mostTries || g.list.Check(f.fingerprint) != quarantine.Pass {
 		return nil
 	}
-	if !g.budget.Left(f.pool) {
+	if !g.budget.RetryAvailable(f.pool) {
 		g.tally.add("stall_waited_for_budget")
 		t.watchdog.Reset(eventStall)
 		return nil
@@ -162,7 +162,7 @@
 		g.tally.add("stalled_without_other_upstream")
 		return false
 	}
-	if !g.budget.Take(f.pool) {
+	if !g.budget.TakeRetry(f.pool) {
 		return false
 	}
 	g.tally.add("hedged")
--- a/internal/gateway/left_test.go
+++ b/internal/gateway/left_test.go
@@ -67,7 +67,7 @@
 	go func() { _ = s.Run(ctx) }()
 	Eventually(func() bool {
 		n.publish()
-		_, ok := s.Tracker().Fresh(n.address)
+		_, ok := s.Tracker().FreshReport(n.address)
 		return ok
 	}).Should(BeTrue())
 	return n
--- a/internal/gateway/life_test.go
+++ b/internal/gateway/life_test.go
@@ -41,7 +41,7 @@
 		b := newTestbed(route(catalog.Streaming, "engines"))
 		b.upstream("u", "engines", echo)
 		i := b.started(10, 1)
-		b.tracker.SetReport(i.Address, placement.LoadReport{Born: 20, Taken: time.Now().Add(-time.Minute)})
+		b.tracker.SetReport(i.Address, placement.LoadReport{Incarnation: 20, ReceivedAt: time.Now().Add(-time.Minute)})
 		a, _, err := b.ask("POST", "/p/x", "", asked...)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(http.StatusServiceUnavailable), "the report is too old to be believed, and the start is not")
@@ -54,7 +54,7 @@
 		i := b.started(20, 0)
 		b.tracker.Report(i)
 		b.tracker.SetReport(i.Address, placement.LoadReport{
-			Born: 10, Held: []facts.Held{{Model: "m", Revision: 1}}, Taken: time.Now(),
+			Incarnation: 10, Held: []facts.Held{{Model: "m", Revision: 1}}, ReceivedAt: time.Now(),
 		})
 		a, _, err := b.ask("POST", "/p/x", "", asked...)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -15,8 +15,8 @@
 			Address: l.Address, Rate: float64(l.Rate), AgeMs: now.Sub(l.KnownSince).Milliseconds(), Permits: uint32(l.Permits), Sent: l.Sent, Alone: l.OwnShare,
 		})
 	}
-	for _, r := range g.load.Tracker.Rests() {
-		a.Resting = append(a.Resting, &pb.RestingUpstream{Address: r.Address, Instance: string(r.Instance), LeftMs: r.Left.Milliseconds()})
+	for _, r := range g.load.Tracker.RestingUpstreams() {
+		a.Resting = append(a.Resting, &pb.RestingUpstream{Address: r.Address, Instance: string(r.Instance), LeftMs: r.Remaining.Milliseconds()})
 	}
 	for _, i := range g.facts.Instances() {
 		if i.Leaving {
--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -89,8 +89,8 @@
 	dialect  *Dialect
 	facts    *facts.Facts
 	load     Load
-	budget   *placement.Budget
-	patience *placement.Patience
+	budget   *placement.RetryBudget
+	patience *placement.PatienceTracker
 	pool     *upconn.Pool
 	list     *quarantine.List
 	witness  *quarantine.Witness
@@ -135,7 +135,7 @@
 // Load is what a gateway knows of the load of upstreams and of other gateways.
 type Load struct {
 	Tracker *placement.Tracker
-	Offers  *placement.Offers
+	Offers  *placement.DemandMeter
 	// Demand is what callers bring to all gateways for a pool.
 	Demand func(p id.Pool) placement.Demand
 	// Gateways returns the number of processes that share the budget for repeats.
@@ -147,12 +147,12 @@
 func New(s *Settings, d *Dialect, f *facts.Facts, k Load, q *quarantine.Quarantine,
 	connect func(ctx context.Context, network, address string) (net.Conn, error), own id.Domain, l *log.Logger,
 ) *Gateway {
-	rule := placement.BudgetRule{Ratio: s.RepeatRatio, Slack: s.RepeatSlack, Window: s.RepeatWindow}
+	rule := placement.RetryBudgetRule{Ratio: s.RepeatRatio, Slack: s.RepeatSlack, Window: s.RepeatWindow}
 	g := &Gateway{
 		settings: s, dialect: d, facts: f, load: k, domain: own, log: l, tally: newTally(), now: clock.Now,
 		suspended: clock.Suspended,
-		budget:    placement.NewBudget(rule, k.Gateways, clock.Now),
-		patience:  placement.NewPatience(clock.Now),
+		budget:    placement.NewRetryBudget(rule, k.Gateways, clock.Now),
+		patience:  placement.NewPatienceTracker(clock.Now),
 		pool:      upconn.New(connect, clock.Now, d.Echoed),
 		list:      q.List,
 		flights:   newFlights(),
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -33,14 +33,14 @@
 // and no link is proven.
 func (f *flight) acquire(ctx context.Context, c *placement.Choice) bool {
 	f.asked = 0
-	if c.Limit == nil && !c.Prove {
+	if c.Limit == nil && !c.NeedsProbe {
 		return true
 	}
 	if c.Limit != nil {
 		f.limit = *c.Limit
 	}
-	if !c.Known {
-		return !c.Prove && f.takePart(c)
+	if !c.Fresh {
+		return !c.NeedsProbe && f.takePart(c)
 	}
 	return f.askPermit(ctx, c)
 }
@@ -48,7 +48,7 @@
 // takePart takes a permit of this gateway's own part of a limit.
 func (f *flight) takePart(c *placement.Choice) bool {
 	g := f.gateway
-	if !g.load.Tracker.TakePart(c.Address) {
+	if !g.load.Tracker.TakeSharePermit(c.Address) {
 		return false
 	}
 	g.tally.add("permits_of_own_part")
@@ -61,7 +61,7 @@
 	ctx, stop := context.WithTimeout(ctx, permitTimeout)
 	defer stop()
 	began := g.now()
-	permit, answered := g.load.Permits.Ask(ctx, c.Address, c.Born)
+	permit, answered := g.load.Permits.Ask(ctx, c.Address, c.Incarnation)
 	f.asked = g.now().Sub(began)
 	switch {
 	case !answered:
@@ -82,15 +82,15 @@
 func (t *attempt) noteLimit(w throttle.LimitInfo) {
 	f := t.flight
 	f.named = w
-	if !t.mark.Answered(w) {
+	if !t.mark.RecordLimitAnswer(w) {
 		return
 	}
 	k := f.gateway.load.Permits
 	switch {
 	case w.State == throttle.Limited:
-		k.Named(t.choice.Address, t.choice.Born, w.Rate)
+		k.Named(t.choice.Address, t.choice.Incarnation, w.Rate)
 	case w.State == throttle.Unlimited && t.permit > 0:
-		k.Ended(t.choice.Address, t.choice.Born, t.permit)
+		k.Ended(t.choice.Address, t.choice.Incarnation, t.permit)
 	}
 }
 
--- a/internal/gateway/permit_test.go
+++ b/internal/gateway/permit_test.go
@@ -29,7 +29,7 @@
 	// limit has the stager beside an upstream tell a limit, of which two permits are there.
 	limit := func(name string) {
 		b.tracker.SetReport(b.facts.Instance(id.Instance(name)).Address, placement.LoadReport{
-			Taken: s.now(), Until: s.now().Add(time.Hour), Held: []facts.Held{{Model: "m", Revision: 1}},
+			ReceivedAt: s.now(), ValidUntil: s.now().Add(time.Hour), Held: []facts.Held{{Model: "m", Revision: 1}},
 			Limit: throttle.Announcement{LimitInfo: limited, Incarnation: 1, Permits: 2},
 		})
 	}
@@ -90,7 +90,7 @@
 	It("is served by one that is not limited where the others give no permit", func() {
 		answers(0, true, 0)
 		b.tracker.SetReport(b.facts.Instance("w").Address, placement.LoadReport{
-			Taken: s.now(), Until: s.now().Add(time.Hour), Held: []facts.Held{{Model: "m", Revision: 1}}, Limit: throttle.Announcement{Incarnation: 1, LimitInfo: throttle.LimitInfo{State: throttle.Unlimited}},
+			ReceivedAt: s.now(), ValidUntil: s.now().Add(time.Hour), Held: []facts.Held{{Model: "m", Revision: 1}}, Limit: throttle.Announcement{Incarnation: 1, LimitInfo: throttle.LimitInfo{State: throttle.Unlimited}},
 		})
 		Expect(ask().StatusCode).To(Equal(200))
 		Expect(asked.Load()).To(BeNumerically("<=", mostPermitAsks))
@@ -113,7 +113,7 @@
 		b.upstream("u", "engines", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 200, "X-Limit: "+text+"\r\n", "ran") })
 		address := b.facts.Instances()[0].Address
 		told := func(w throttle.Announcement) {
-			b.tracker.SetReport(address, placement.LoadReport{Taken: time.Now(), Held: []facts.Held{{Model: "m", Revision: 1}}, Limit: w})
+			b.tracker.SetReport(address, placement.LoadReport{ReceivedAt: time.Now(), Held: []facts.Held{{Model: "m", Revision: 1}}, Limit: w})
 		}
 		var named []throttle.Rate
 		var ended []uint64
@@ -149,7 +149,7 @@
 		}
 		i := b.facts.Instance("v")
 		b.tracker.SetReport(i.Address, placement.LoadReport{
-			Taken: time.Now().Add(time.Minute), Until: time.Now().Add(time.Hour), Held: i.Held,
+			ReceivedAt: time.Now().Add(time.Minute), ValidUntil: time.Now().Add(time.Hour), Held: i.Held,
 			Limit: throttle.Announcement{LimitInfo: throttle.LimitInfo{State: throttle.Limited, Rate: 0.1}, Incarnation: 1},
 		})
 		_, _, err := b.ask("POST", "/p/", "x", xModel, "m")
--- a/internal/gateway/queue_test.go
+++ b/internal/gateway/queue_test.go
@@ -23,7 +23,7 @@
 			stream(c, q, xRevision+": 1\r\n", "id: 1\ndata: a\n\n")
 			_, _ = io.WriteString(c, "0\r\n\r\n")
 		})
-		report := placement.LoadReport{Held: []facts.Held{{Model: "m", Revision: 1}}, Config: 6, Taken: time.Now()}
+		report := placement.LoadReport{Held: []facts.Held{{Model: "m", Revision: 1}}, ConfigVersion: 6, ReceivedAt: time.Now()}
 		b.tracker.SetReport(b.facts.Instances()[0].Address, report)
 		a, _, err := b.ask("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
@@ -48,7 +48,7 @@
 		})
 		old := b.facts.Catalog()
 		b.tracker.SetReport(b.facts.Instances()[0].Address, placement.LoadReport{
-			Held: []facts.Held{{Model: "m", Revision: 1}}, Config: old.Revision, Taken: time.Now(),
+			Held: []facts.Held{{Model: "m", Revision: 1}}, ConfigVersion: old.Revision, ReceivedAt: time.Now(),
 		})
 		b.facts.SetWanted("m", secondNamed())
 		a, _, err := b.ask("POST", "/p/", "x", xModel, "m")
@@ -81,9 +81,9 @@
 		}
 		status := func(request string) int {
 			stamp := s.now()
-			b.tracker.Asked(b.facts.Instances()[0].Address, stamp)
+			b.tracker.RecordProbe(b.facts.Instances()[0].Address, stamp)
 			b.tracker.SetReport(b.facts.Instances()[0].Address, placement.LoadReport{
-				Held: []facts.Held{{Model: "m", Revision: 1}}, Taken: stamp, MadeAfter: stamp, Every: 200 * time.Millisecond,
+				Held: []facts.Held{{Model: "m", Revision: 1}}, ReceivedAt: stamp, EchoedStamp: stamp, Interval: 200 * time.Millisecond,
 			})
 			a, _, err := b.ask("POST", "/p/", "x", xModel, "m", xRequest, request)
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -161,7 +161,7 @@
 	if patience <= 0 {
 		patience = never
 	}
-	f.lost = f.gateway.patience.Lost(f.route.Name, f.ask.Patience)
+	f.lost = f.gateway.patience.TimeLost(f.route.Name, f.ask.Patience)
 	f.callerGives = f.arrived.Add(patience)
 	f.deadline = f.arrived.Add(min(held, patience))
 }
@@ -207,7 +207,7 @@
 	ctx, stop := context.WithTimeout(f.ctx, f.left())
 	defer stop()
 	_ = http.NewResponseController(f.w).SetWriteDeadline(clock.In(f.left() + callerSlack))
-	f.gateway.budget.Request(f.pool)
+	f.gateway.budget.RecordRequest(f.pool)
 	for {
 		next := f.attempt(ctx)
 		if next == nil {
@@ -225,7 +225,7 @@
 	if ctx.Err() != nil || p.final || f.gateway.list.Check(f.fingerprint) != quarantine.Pass || !f.attemptsLeft() || !Repeatable(f.route, len(f.tried), p.notRun, f.headSent) {
 		return false
 	}
-	return f.attempts == 0 || f.gateway.budget.Take(f.pool)
+	return f.attempts == 0 || f.gateway.budget.TakeRetry(f.pool)
 }
 
 // Repeatable says whether what failed at an upstream may be offered to another one, as far as the route and the tries tell.
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -126,7 +126,7 @@
 		Expect(a.StatusCode).To(Equal(503))
 		Expect(b.runs("1")).To(BeZero())
 		b.tracker.SetReport(b.facts.Instances()[0].Address, placement.LoadReport{
-			Held: []facts.Held{{Model: "m", Revision: 2}}, Taken: time.Now(),
+			Held: []facts.Held{{Model: "m", Revision: 2}}, ReceivedAt: time.Now(),
 		})
 		_, _, _ = b.ask("POST", "/p/", "x", xModel, "m", xRequest, "2", "X-Hang-Up", "1")
 		Expect(b.runs("2")).To(Equal(1))
@@ -137,14 +137,14 @@
 		b.upstream("u", "engines", resume)
 		b.facts.SetWanted("m", secondNamed())
 		b.gateway.settings.SwapWithin = swapMargin + time.Second
-		report := placement.LoadReport{Narrow: true, Held: []facts.Held{{Model: "m", Revision: 1}}, Taken: time.Now()}
+		report := placement.LoadReport{Congested: true, Held: []facts.Held{{Model: "m", Revision: 1}}, ReceivedAt: time.Now()}
 		b.tracker.SetReport(b.facts.Instances()[0].Address, report)
 		time.Sleep(5 * time.Millisecond)
 		a, _, err := b.ask("POST", "/p/", "x", xModel, "m", xRequest, "1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(503))
 		Expect(b.runs("1")).To(BeZero())
-		report.Narrow = false
+		report.Congested = false
 		b.tracker.SetReport(b.facts.Instances()[0].Address, report)
 		_, _, _ = b.ask("POST", "/p/", "x", xModel, "m", xRequest, "2", "X-Hang-Up", "1")
 		Expect(b.runs("2")).To(Equal(1))
@@ -172,7 +172,7 @@
 		r := route(catalog.Streaming, "engines")
 		r.Timeout = 5 * time.Second
 		b := newTestbed(r)
-		b.gateway.budget = placement.NewBudget(placement.BudgetRule{Window: time.Second}, func() int { return 1 }, time.Now)
+		b.gateway.budget = placement.NewRetryBudget(placement.RetryBudgetRule{Window: time.Second}, func() int { return 1 }, time.Now)
 		gone := make(chan time.Time, 1)
 		b.upstream("frozen", "engines", func(_ *http.Request, _ string, c net.Conn) {
 			_, _ = c.Read(make([]byte, 1))
@@ -191,7 +191,7 @@
 		r := route(catalog.Streaming, "engines")
 		r.Timeout = 5 * time.Second
 		b := newTestbed(r)
-		b.gateway.budget = placement.NewBudget(placement.BudgetRule{Window: time.Second}, func() int { return 1 }, time.Now)
+		b.gateway.budget = placement.NewRetryBudget(placement.RetryBudgetRule{Window: time.Second}, func() int { return 1 }, time.Now)
 		gone := make(chan time.Time, 1)
 		arrived := make(chan struct{})
 		b.upstream("frozen", "engines", func(_ *http.Request, _ string, c net.Conn) {
@@ -215,7 +215,7 @@
 		r := route(catalog.Streaming, "engines")
 		r.Timeout = 5 * time.Second
 		b := newTestbed(r)
-		b.gateway.budget = placement.NewBudget(placement.BudgetRule{Window: time.Second}, func() int { return 1 }, time.Now)
+		b.gateway.budget = placement.NewRetryBudget(placement.RetryBudgetRule{Window: time.Second}, func() int { return 1 }, time.Now)
 		gone := make(chan time.Time, 1)
 		arrived := make(chan struct{})
 		b.upstream("frozen", "engines", func(_ *http.Request, _ string, c net.Conn) {
@@ -240,7 +240,7 @@
 		r := route(catalog.Streaming, "engines")
 		r.Timeout = 5 * time.Second
 		b := newTestbed(r)
-		b.gateway.budget = placement.NewBudget(placement.BudgetRule{Window: time.Second}, func() int { return 1 }, time.Now)
+		b.gateway.budget = placement.NewRetryBudget(placement.RetryBudgetRule{Window: time.Second}, func() int { return 1 }, time.Now)
 		gone := make(chan time.Time, 1)
 		arrived := make(chan struct{})
 		b.upstream("frozen", "engines", func(_ *http.Request, _ string, c net.Conn) {
@@ -266,7 +266,7 @@
 		b := newTestbed(r)
 		b.upstream("u", "engines", resume)
 		b.tracker.SetReport(b.facts.Instances()[0].Address, placement.LoadReport{
-			Running: 4, Waiting: 30, Held: []facts.Held{{Model: "m", Revision: 1}}, Taken: time.Now(),
+			Running: 4, Waiting: 30, Held: []facts.Held{{Model: "m", Revision: 1}}, ReceivedAt: time.Now(),
 		})
 		start := time.Now()
 		a, _, err := b.ask("POST", "/p/", "x", xModel, "m")
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -24,7 +24,7 @@
 // noteLeaving has nothing more sent to a start of an upstream whose answer says that it leaves.
 func (g *Gateway) noteLeaving(c placement.Choice) {
 	g.tally.add("answers_of_leaving_upstreams")
-	if g.facts.Leaves(c.Instance, c.Born) {
+	if g.facts.Leaves(c.Instance, c.Incarnation) {
 		g.log.Info().Str("instance", string(c.Instance)).Str("upstream", c.Address).Msg("upstream leaves by its own answer")
 	}
 }
@@ -33,7 +33,7 @@
 func (t *attempt) noteRest(d time.Duration) {
 	g, c := t.flight.gateway, t.choice
 	g.tally.add("answers_that_ask_for_rest")
-	if t.mark.Rests(c.Instance, d) {
+	if t.mark.RecordRest(c.Instance, d) {
 		g.log.Info().Str("instance", string(c.Instance)).Str("upstream", c.Address).Int64("rest_ms", d.Milliseconds()).
 			Msg("upstream asks for rest")
 	}
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -63,9 +63,9 @@
 	It("gets no request where the process beside it says so", func() {
 		b.upstream("u", "engines", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 200, "", "ran") })
 		held := []facts.Held{{Model: "m", Revision: 1}}
-		b.tracker.SetReport(b.facts.Instances()[0].Address, placement.LoadReport{Taken: time.Now(), Held: held, Leaving: true})
+		b.tracker.SetReport(b.facts.Instances()[0].Address, placement.LoadReport{ReceivedAt: time.Now(), Held: held, Leaving: true})
 		Expect(ask("1")).To(Equal(503))
-		b.tracker.SetReport(b.facts.Instances()[0].Address, placement.LoadReport{Taken: time.Now(), Held: held})
+		b.tracker.SetReport(b.facts.Instances()[0].Address, placement.LoadReport{ReceivedAt: time.Now(), Held: held})
 		Expect(ask("2")).To(Equal(200))
 	})
 })
@@ -138,7 +138,7 @@
 				if i.Address == address && !asked {
 					asked = true
 					f := b.tracker.Begin(address, 0)
-					f.Rests(i.ID, time.Second)
+					f.RecordRest(i.ID, time.Second)
 					f.End()
 				}
 			}
--- a/internal/gateway/way_test.go
+++ b/internal/gateway/way_test.go
@@ -208,7 +208,7 @@
 			time.Sleep(reportsEvery)
 		}
 	}()
-	Eventually(func() bool { _, ok := s.Tracker().Fresh(address); return ok }).Should(BeTrue())
+	Eventually(func() bool { _, ok := s.Tracker().FreshReport(address); return ok }).Should(BeTrue())
 }
 
 // name names a newer version now.
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -71,7 +71,7 @@
 	return &Limiter{settings: s, entries: entries, now: now, used: map[id.Organisation]*usage{}}
 }
 
-// Refusal is ErrOver with the time after which the caller may come back.
+// Refusal is ErrOverLimit with the time after which the caller may come back.
 type Refusal struct {
 	RetryAfter time.Duration
 	text  string
@@ -82,7 +82,7 @@
 	return r.text
 }
 
-// Is makes errors.Is find ErrOver.
+// Is makes errors.Is find ErrOverLimit.
 func (r *Refusal) Is(target error) bool {
 	return target == ErrOverLimit
 }
--- a/internal/placement/budget.go
+++ b/internal/placement/budget.go
@@ -17,17 +17,17 @@
 	budgetShare = 0.7
 )
 
-// BudgetRule is what all gateways together may send beyond the first send of each request.
-type BudgetRule struct {
+// RetryBudgetRule is what all gateways together may send beyond the first send of each request.
+type RetryBudgetRule struct {
 	// Ratio is the allowance for each request in the window, and Slack what is allowed on top.
 	Ratio, Slack float64
 	Window       time.Duration
 }
 
-// Budget keeps this process within its part of the fleet's allowance without a message: the ratio counts its own
+// RetryBudget keeps this process within its part of the fleet's allowance without a message: the ratio counts its own
 // requests only, and the slack is shared equally by the gateways known.
-type Budget struct {
-	rule     BudgetRule
+type RetryBudget struct {
+	rule     RetryBudgetRule
 	gateways func() int
 	now      func() time.Time
 	// start is the zero of the parts: differences of times follow the steady clock, whatever the time of day does.
@@ -43,12 +43,12 @@
 	repeats  [keptParts]int
 }
 
-// NewBudget makes a budget; gateways returns how many processes share it.
-func NewBudget(r BudgetRule, gateways func() int, now func() time.Time) *Budget {
-	return &Budget{rule: r, gateways: gateways, now: now, start: now(), pools: map[id.Pool]*window{}}
+// NewRetryBudget makes a budget; gateways returns how many processes share it.
+func NewRetryBudget(r RetryBudgetRule, gateways func() int, now func() time.Time) *RetryBudget {
+	return &RetryBudget{rule: r, gateways: gateways, now: now, start: now(), pools: map[id.Pool]*window{}}
 }
 
-func (b *Budget) window(p id.Pool) (*window, int) {
+func (b *RetryBudget) window(p id.Pool) (*window, int) {
 	w := b.pools[p]
 	if w == nil {
 		w = &window{}
@@ -63,16 +63,16 @@
 	return w, int(part % keptParts)
 }
 
-// Request notes a request for a pool.
-func (b *Budget) Request(p id.Pool) {
+// RecordRequest notes a request for a pool.
+func (b *RetryBudget) RecordRequest(p id.Pool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w, i := b.window(p)
 	w.requests[i]++
 }
 
-// Take allows a repeated send, or not.
-func (b *Budget) Take(p id.Pool) bool {
+// TakeRetry allows a repeated send, or not.
+func (b *RetryBudget) TakeRetry(p id.Pool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w, i := b.window(p)
@@ -83,14 +83,14 @@
 	return true
 }
 
-// Left says whether a repeated send would be allowed now.
-func (b *Budget) Left(p id.Pool) bool {
+// RetryAvailable says whether a repeated send would be allowed now.
+func (b *RetryBudget) RetryAvailable(p id.Pool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.left(b.window(p))
 }
 
-func (b *Budget) left(w *window, i int) bool {
+func (b *RetryBudget) left(w *window, i int) bool {
 	requests, repeats := 0, 0
 	for back := range keptParts {
 		k := (i + keptParts - back) % keptParts
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -23,13 +23,13 @@
 type Choice struct {
 	Candidate
 	Predicted time.Duration
-	// Room says that the upstream's engine has time for the request beside what else is expected to be sent.
-	Room bool
+	// HasCapacity says that the upstream's engine has time for the request beside what else is expected to be sent.
+	HasCapacity bool
 }
 
-// Choose returns an upstream for a request among those not tried; suspects only where nothing else is left. See Outlook
+// Choose returns an upstream for a request among those not tried; suspects only where nothing else is left. See Forecast
 // for how the upstreams' figures are carried on to the present.
-func Choose(l []Candidate, tried map[id.Instance]bool, w *Outlook, r *rand.Rand) (Choice, bool) {
+func Choose(l []Candidate, tried map[id.Instance]bool, w *Forecast, r *rand.Rand) (Choice, bool) {
 	y := layouts.Get().(*layout)
 	defer layouts.Put(y)
 	for _, suspects := range []bool{false, true} {
@@ -43,8 +43,8 @@
 // usualWork is the time that a plain upstream is taken to need for a request; only ratios between upstreams matter.
 const usualWork = 60 * time.Millisecond
 
-// PlainWait predicts the answer of an upstream that is no engine from this process's own requests there.
-func PlainWait(c *Candidate) time.Duration {
+// PredictPlainService predicts the answer of an upstream that is no engine from this process's own requests there.
+func PredictPlainService(c *Candidate) time.Duration {
 	return usualWork * time.Duration(1+c.InFlight)
 }
 
@@ -64,8 +64,8 @@
 	leastRetry = 300 * time.Millisecond
 	// retryShare is the part of the time that they have left that callers heed.
 	retryShare = 1.0 / 3
-	// NoUpstreamRetry is when a caller may come back where no upstream is there: an empty one is filled in about 3 s.
-	NoUpstreamRetry = 3 * time.Second
+	// NoUpstreamRetryAfter is when a caller may come back where no upstream is there: an empty one is filled in about 3 s.
+	NoUpstreamRetryAfter = 3 * time.Second
 )
 
 // RetryAfter is when there is expected to be room again, within what a caller heeds that has a time left, and spread so that
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -6,44 +6,44 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// Offered is what callers bring, in requests a second.
-type Offered struct {
-	// First can still be served in time, Late can't.
-	First, Late float64
+// OfferedLoad is what callers bring, in requests a second.
+type OfferedLoad struct {
+	// OnTime can still be served in time, Late can't.
+	OnTime, Late float64
 }
 
 // Demand is what callers bring to the gateways of each failure domain for a pool.
-type Demand map[id.Domain]Offered
+type Demand map[id.Domain]OfferedLoad
 
-// Raise takes the larger of each figure for a failure domain.
-func (d Demand) Raise(n id.Domain, o Offered) {
+// MergeMax takes the larger of each figure for a failure domain.
+func (d Demand) MergeMax(n id.Domain, o OfferedLoad) {
 	old := d[n]
-	d[n] = Offered{First: max(old.First, o.First), Late: max(old.Late, o.Late)}
+	d[n] = OfferedLoad{OnTime: max(old.OnTime, o.OnTime), Late: max(old.Late, o.Late)}
 }
 
-// Offers follows what callers bring to this process.
-type Offers struct {
-	// First are requests that can still be served in time, Late those that can't.
-	First, Late *Rate
-	// Far are those of them that were sent to another failure domain.
-	Far *Rate
+// DemandMeter follows what callers bring to this process.
+type DemandMeter struct {
+	// OnTime are requests that can still be served in time, Late those that can't.
+	OnTime, Late *RateMeter
+	// CrossDomain are those of them that were sent to another failure domain.
+	CrossDomain *RateMeter
 }
 
-// NewOffers makes an empty record.
-func NewOffers(now func() time.Time) *Offers {
-	return &Offers{First: NewRate(now), Late: NewRate(now), Far: NewRate(now)}
+// NewDemandMeter makes an empty record.
+func NewDemandMeter(now func() time.Time) *DemandMeter {
+	return &DemandMeter{OnTime: NewRateMeter(now), Late: NewRateMeter(now), CrossDomain: NewRateMeter(now)}
 }
 
 // Total is the present rate of all requests.
-func (o *Offers) Total() float64 {
-	return o.First.Total() + o.Late.Total()
+func (o *DemandMeter) Total() float64 {
+	return o.OnTime.Total() + o.Late.Total()
 }
 
-// Came notes a request.
-func (o *Offers) Came(p id.Pool, late bool) {
+// Record notes a request.
+func (o *DemandMeter) Record(p id.Pool, late bool) {
 	if late {
-		o.Late.Came(p)
+		o.Late.Record(p)
 		return
 	}
-	o.First.Came(p)
+	o.OnTime.Record(p)
 }
--- a/internal/placement/herd_test.go
+++ b/internal/placement/herd_test.go
@@ -39,7 +39,7 @@
 }
 
 func (e *herdEngine) candidate(name id.Instance) Candidate {
-	return Candidate{Instance: name, Slots: herdSlots, Running: len(e.ends), Waiting: len(e.waiting), Pace: 1, Known: true}
+	return Candidate{Instance: name, Slots: herdSlots, Running: len(e.ends), Waiting: len(e.waiting), Slowdown: 1, Fresh: true}
 }
 
 // step ends and begins requests and adds up how long those that begin have waited.
@@ -71,12 +71,12 @@
 		engines[i].reported = engines[i].candidate(names[i])
 	}
 	perSecond := h.load * float64(h.upstreams*herdSlots) / herdService.Seconds()
-	w := &Outlook{First: func(c *Candidate) time.Duration {
+	w := &Forecast{PredictFirstEvent: func(c *Candidate) time.Duration {
 		return time.Millisecond*time.Duration(c.load()) + max(0, time.Duration(c.load()+1-herdSlots)*herdService/herdSlots)
 	}}
 	if h.spreading {
-		w.Horizon, w.Demand = h.between, Demand{"": {First: perSecond}}
-		w.Later = func(c *Candidate, d time.Duration) {
+		w.Horizon, w.Demand = h.between, Demand{"": {OnTime: perSecond}}
+		w.Advance = func(c *Candidate, d time.Duration) {
 			ended := int(float64(c.Running) * d.Seconds() / herdService.Seconds())
 			begun := min(c.Waiting, herdSlots-c.Running+ended)
 			c.Running, c.Waiting = c.Running-ended+begun, c.Waiting-begun
--- a/internal/placement/limit.go
+++ b/internal/placement/limit.go
@@ -31,22 +31,22 @@
 	return u.limit.Shared(now, u.limit.Share(t.Gateways(), !u.reports()), rand.Float64)
 }
 
-// Limited is an upstream that names a limit.
-type Limited struct {
+// LimitedUpstream is an upstream that names a limit.
+type LimitedUpstream struct {
 	Address string
 	throttle.Limit
 }
 
 // Limits lists the upstreams that name a limit, by address.
-func (t *Tracker) Limits() (l []Limited) {
+func (t *Tracker) Limits() (l []LimitedUpstream) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for address, u := range t.known {
 		if u.limit != nil {
-			l = append(l, Limited{Address: address, Limit: t.limitOf(u)})
+			l = append(l, LimitedUpstream{Address: address, Limit: t.limitOf(u)})
 		}
 	}
-	slices.SortFunc(l, func(a, b Limited) int { return strings.Compare(a.Address, b.Address) })
+	slices.SortFunc(l, func(a, b LimitedUpstream) int { return strings.Compare(a.Address, b.Address) })
 	return l
 }
 
@@ -61,7 +61,7 @@
 
 // reports says whether a process beside the upstream has ever reported.
 func (u *upstream) reports() bool {
-	return !u.report.Taken.IsZero()
+	return !u.report.ReceivedAt.IsZero()
 }
 
 // hearLimit takes what the process beside the upstream tells.
@@ -88,8 +88,8 @@
 	}
 }
 
-// HearLimit takes what the process beside an upstream has told besides its report.
-func (t *Tracker) HearLimit(address string, told throttle.Announcement) {
+// RecordLimitAnnouncement takes what the process beside an upstream has told besides its report.
+func (t *Tracker) RecordLimitAnnouncement(address string, told throttle.Announcement) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if u := t.known[address]; u != nil {
@@ -97,9 +97,9 @@
 	}
 }
 
-// Untold is the limit of an upstream of which the process beside it, by its start, has told nothing; false where there
+// UnannouncedLimit is the limit of an upstream of which the process beside it, by its start, has told nothing; false where there
 // is no such limit.
-func (t *Tracker) Untold(address string, by uint64) (throttle.Rate, id.Birth, bool) {
+func (t *Tracker) UnannouncedLimit(address string, by uint64) (throttle.Rate, id.Birth, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.known[address]
@@ -110,17 +110,17 @@
 	return r, u.born, untold
 }
 
-// TakePart takes a permit for an upstream of this gateway's own part.
-func (t *Tracker) TakePart(address string) bool {
+// TakeSharePermit takes a permit for an upstream of this gateway's own part.
+func (t *Tracker) TakeSharePermit(address string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.known[address]
 	return u != nil && u.limit != nil && u.limit.TakeSharePermit(t.now())
 }
 
-// Answered takes what the upstream's answer to the request says of its limit, and returns whether the process beside
+// RecordLimitAnswer takes what the upstream's answer to the request says of its limit, and returns whether the process beside
 // the upstream is to be told.
-func (f *Flight) Answered(w throttle.LimitInfo) (tell bool) {
+func (f *Attempt) RecordLimitAnswer(w throttle.LimitInfo) (tell bool) {
 	t, u := f.tracker, f.upstream
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -134,10 +134,10 @@
 	return u.limit != nil && !u.limit.FromUpstream() && !silent
 }
 
-// RetrySpread is when a caller may come back where permits come more slowly than callers: any moment from the next
+// SpreadRetryAfter is when a caller may come back where permits come more slowly than callers: any moment from the next
 // permit on within what a caller heeds that has a time left. All that came back at the next permit would find the one
 // that took it.
-func RetrySpread(due, left time.Duration, r *rand.Rand) time.Duration {
+func SpreadRetryAfter(due, left time.Duration, r *rand.Rand) time.Duration {
 	most := max(leastRetry, time.Duration(retryShare*float64(left)))
 	from := min(max(due, leastRetry), most)
 	return from + time.Duration(r.Float64()*float64(most-from))
--- a/internal/placement/limit_test.go
+++ b/internal/placement/limit_test.go
@@ -13,18 +13,18 @@
 
 var _ = Describe("an upstream that takes no more than a limit", func() {
 	// chosen is the share of requests that go to the upstream with the given place in the list and find room there.
-	chosen := func(l []Candidate, n int, w *Outlook) float64 {
+	chosen := func(l []Candidate, n int, w *Forecast) float64 {
 		const tries = 2000
 		r := seeded()
 		at := 0
 		for range tries {
-			if c, _ := Choose(l, nil, w, r); c.Instance == l[n].Instance && c.Room {
+			if c, _ := Choose(l, nil, w, r); c.Instance == l[n].Instance && c.HasCapacity {
 				at++
 			}
 		}
 		return float64(at) / tries
 	}
-	demand := Demand{"d": {First: 300}}
+	demand := Demand{"d": {OnTime: 300}}
 
 	It("gets the share of all requests for which it has permits, however idle it looks", func() {
 		l := fleetOf(10, 20)
@@ -57,7 +57,7 @@
 		i = &facts.Instance{ID: "i", Address: "a", Born: 5, Seen: 1}
 	})
 	report := func(b id.Birth, told throttle.Announcement) {
-		t.SetReport("a", LoadReport{Born: b, Taken: now, Limit: told})
+		t.SetReport("a", LoadReport{Incarnation: b, ReceivedAt: now, Limit: told})
 	}
 
 	It("is of one start of an upstream", func() {
@@ -70,7 +70,7 @@
 	It("is of one instance where upstreams don't tell their starts", func() {
 		i.Born = 0
 		f := t.Begin("a", 1)
-		Expect(f.Answered(limited)).To(BeFalse())
+		Expect(f.RecordLimitAnswer(limited)).To(BeFalse())
 		Expect(t.Candidate(i, 0).Limit).NotTo(BeNil())
 		Expect(t.Candidate(&facts.Instance{ID: "j", Address: "a", Seen: 2}, 0).Limit).To(BeNil())
 	})
@@ -78,26 +78,26 @@
 	It("is told to the process beside the upstream where that does not say it itself", func() {
 		report(5, throttle.Announcement{Incarnation: 1})
 		f := t.Begin("a", 1)
-		Expect(f.Answered(limited)).To(BeTrue())
-		_, _, untold := t.Untold("a", 1)
+		Expect(f.RecordLimitAnswer(limited)).To(BeTrue())
+		_, _, untold := t.UnannouncedLimit("a", 1)
 		Expect(untold).To(BeTrue())
 		report(5, throttle.Announcement{LimitInfo: limited, Incarnation: 1})
-		_, _, untold = t.Untold("a", 1)
+		_, _, untold = t.UnannouncedLimit("a", 1)
 		Expect(untold).To(BeFalse())
-		Expect(f.Answered(limited)).To(BeTrue())
+		Expect(f.RecordLimitAnswer(limited)).To(BeTrue())
 		report(5, throttle.Announcement{LimitInfo: limited, Incarnation: 1, FromUpstream: true})
-		Expect(f.Answered(limited)).To(BeFalse())
+		Expect(f.RecordLimitAnswer(limited)).To(BeFalse())
 	})
 
 	It("leaves each gateway its part while the process beside the upstream is silent", func() {
 		t.Gateways = func() int { return 2 }
 		report(5, throttle.Announcement{LimitInfo: limited, Incarnation: 1, Permits: 2})
-		Expect(t.TakePart("a")).To(BeFalse())
+		Expect(t.TakeSharePermit("a")).To(BeFalse())
 		now = now.Add(2 * time.Second)
 		taken := 0
 		for range 100 {
 			now = now.Add(100 * time.Millisecond)
-			if t.Candidate(i, 0).Limit.Permits > 0 && t.TakePart("a") {
+			if t.Candidate(i, 0).Limit.Permits > 0 && t.TakeSharePermit("a") {
 				taken++
 			}
 		}
@@ -110,12 +110,12 @@
 		r := seeded()
 		least, most := time.Hour, time.Duration(0)
 		for range 1000 {
-			d := RetrySpread(500*time.Millisecond, 6*time.Second, r)
+			d := SpreadRetryAfter(500*time.Millisecond, 6*time.Second, r)
 			least, most = min(least, d), max(most, d)
 		}
 		Expect(least).To(BeNumerically("~", 500*time.Millisecond, 20*time.Millisecond))
 		Expect(most).To(BeNumerically("~", 2*time.Second, 20*time.Millisecond))
-		Expect(RetrySpread(time.Hour, 6*time.Second, r)).To(Equal(2 * time.Second))
-		Expect(RetrySpread(0, 0, r)).To(Equal(leastRetry))
+		Expect(SpreadRetryAfter(time.Hour, 6*time.Second, r)).To(Equal(2 * time.Second))
+		Expect(SpreadRetryAfter(0, 0, r)).To(Equal(leastRetry))
 	})
 })
--- a/internal/placement/outlook.go
+++ b/internal/placement/outlook.go
@@ -11,21 +11,21 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// Outlook carries upstreams' figures, which are always old, on to the next reports. All gateways see the same figures, so
+// Forecast carries upstreams' figures, which are always old, on to the next reports. All gateways see the same figures, so
 // where each takes the upstream that looks best, that one becomes the worst, and where each lets in what fits by itself,
 // all together let in several times that. So the requests that are expected on the same view are laid out over the
 // upstreams, each where it costs least, and a request takes the place of one of its kind at random: what all gateways do
 // then adds up to the layout, whatever their number.
-type Outlook struct {
-	// First predicts the first event of the request at an upstream.
-	First func(c *Candidate) time.Duration
-	// Fits says whether an upstream can still begin a usual request in time; nil stands for always.
-	Fits func(c *Candidate) bool
-	// Later changes an upstream to what is left of its work after a time without arrivals; nil changes nothing.
-	Later func(c *Candidate, d time.Duration)
+type Forecast struct {
+	// PredictFirstEvent predicts the first event of the request at an upstream.
+	PredictFirstEvent func(c *Candidate) time.Duration
+	// CanAdmit says whether an upstream can still begin a usual request in time; nil stands for always.
+	CanAdmit func(c *Candidate) bool
+	// Advance changes an upstream to what is left of its work after a time without arrivals; nil changes nothing.
+	Advance func(c *Candidate, d time.Duration)
 	// Horizon is the time between two reports, and Prompt the tokens of a usual request.
 	Horizon time.Duration
-	Prompt  float64
+	UsualPrompt  float64
 	// Demand is what callers bring to all gateways meanwhile, and Domain the own failure domain.
 	Demand Demand
 	Domain id.Domain
@@ -34,19 +34,19 @@
 }
 
 // later carries an upstream on by a time, with a number of requests sent to it meanwhile.
-func (w *Outlook) later(c *Candidate, d time.Duration, sent int) {
-	if w.Later != nil {
-		w.Later(c, d)
+func (w *Forecast) later(c *Candidate, d time.Duration, sent int) {
+	if w.Advance != nil {
+		w.Advance(c, d)
 	}
-	if w.Prompt > 0 {
+	if w.UsualPrompt > 0 {
 		// What comes between two reports is read between them too, as far as there is time.
-		begun := min(sent, int(c.Spare/w.Prompt), max(0, c.Slots-c.load()))
-		c.Spare -= float64(begun) * w.Prompt
+		begun := min(sent, int(c.SpareTokens/w.UsualPrompt), max(0, c.Slots-c.load()))
+		c.SpareTokens -= float64(begun) * w.UsualPrompt
 		c.Running += begun
 		sent -= begun
 	}
 	c.Waiting += sent
-	c.Backlog += float64(sent) * w.Prompt
+	c.Backlog += float64(sent) * w.UsualPrompt
 }
 
 // mostExpected bounds what other processes can make this one expect: a second of twenty times the users' target peak.
@@ -54,15 +54,15 @@
 
 // fits says whether an upstream has room for one more request. One that is late gets a place that is free at once, but
 // never waits for one: what comes behind it would become late in turn.
-func (w *Outlook) fits(c *Candidate, late bool) bool {
-	if w.Fits == nil {
+func (w *Forecast) fits(c *Candidate, late bool) bool {
+	if w.CanAdmit == nil {
 		return true
 	}
-	return w.Fits(c) && (!late || c.load() < c.Slots)
+	return w.CanAdmit(c) && (!late || c.load() < c.Slots)
 }
 
 // expected is the number of requests that come within the horizon at a rate a second; what is no such rate counts as none.
-func (w *Outlook) expected(perSecond float64) int {
+func (w *Forecast) expected(perSecond float64) int {
 	n := perSecond * w.Horizon.Seconds()
 	if !(n > 0) {
 		return 0
@@ -89,20 +89,20 @@
 }
 
 // price sets what one more request costs. An upstream whose permits are used up takes none, however idle it looks.
-func (o *option) price(w *Outlook) {
+func (o *option) price(w *Forecast) {
 	if o.full() {
 		o.cost = math.Inf(1)
 		return
 	}
-	o.cost = float64(w.First(&o.Candidate)) * o.luck
-	if !o.Known {
+	o.cost = float64(w.PredictFirstEvent(&o.Candidate)) * o.luck
+	if !o.Fresh {
 		o.cost += float64(unknownCost)
 	}
 }
 
 // layout is the upstreams that may be chosen, with the requests that are laid on them.
 type layout struct {
-	outlook *Outlook
+	outlook *Forecast
 	options []option
 	// near holds the upstreams of each failure domain as a heap, the one where one more request costs least first: a
 	// step of the layout looks at one of each domain and not at all (BenchmarkChoice of the gateway).
@@ -119,7 +119,7 @@
 var layouts = sync.Pool{New: func() any { return &layout{} }}
 
 // fill takes the upstreams as they will be when the next reports come.
-func (y *layout) fill(l []Candidate, tried map[id.Instance]bool, w *Outlook, r *rand.Rand, suspects bool) {
+func (y *layout) fill(l []Candidate, tried map[id.Instance]bool, w *Forecast, r *rand.Rand, suspects bool) {
 	y.outlook, y.near = w, y.near[:0]
 	y.options = slices.Grow(y.options[:0], len(l))
 	for i := range l {
@@ -275,10 +275,10 @@
 
 // crowds lists what is expected of each failure domain of callers that are late, or that are not; the request itself is
 // one of its own's.
-func (w *Outlook) crowds(late bool) []crowd {
+func (w *Forecast) crowds(late bool) []crowd {
 	l := []crowd{{domain: w.Domain}}
 	for d, o := range w.Demand {
-		n := w.expected(o.First)
+		n := w.expected(o.OnTime)
 		if late {
 			n = w.expected(o.Late)
 		}
@@ -313,8 +313,8 @@
 }
 
 // choice shows the upstream as it is expected to be half way to the next report, without the request itself.
-func (p place) choice(w *Outlook) Choice {
+func (p place) choice(w *Forecast) Choice {
 	c := *p.option.view
 	w.later(&c, w.Horizon/2, max(0, p.option.given-1)/2)
-	return Choice{Candidate: c, Predicted: w.First(&c), Room: p.fits}
+	return Choice{Candidate: c, Predicted: w.PredictFirstEvent(&c), HasCapacity: p.fits}
 }
--- a/internal/placement/outlook_test.go
+++ b/internal/placement/outlook_test.go
@@ -19,29 +19,29 @@
 	for i := range n {
 		l = append(l, Candidate{
 			Instance: id.Instance(fmt.Sprint(i)), Slots: 16, Running: min(load, 16), Waiting: max(0, load-16),
-			Pace: 1, Known: true, Domain: "d",
+			Slowdown: 1, Fresh: true, Domain: "d",
 		})
 	}
 	return l
 }
 
 // outlookOf is the outlook of a usual request against an aim of 300 ms, 200 ms between two reports.
-func outlookOf(d Demand) *Outlook {
-	m := NewModel(engine())
-	return &Outlook{
-		First: func(c *Candidate) time.Duration { return m.FirstEvent(c, m.engine.UsualPrompt) },
-		Fits:  func(c *Candidate) bool { return InTime(m.Admission(c), 0, 300*time.Millisecond) },
-		Later: m.Later, Horizon: 200 * time.Millisecond, Prompt: m.engine.UsualPrompt, Demand: d, Domain: "d",
+func outlookOf(d Demand) *Forecast {
+	m := NewLatencyModel(engine())
+	return &Forecast{
+		PredictFirstEvent: func(c *Candidate) time.Duration { return m.FirstEvent(c, m.engine.UsualPrompt) },
+		CanAdmit:  func(c *Candidate) bool { return InTime(m.AdmissionLatency(c), 0, 300*time.Millisecond) },
+		Advance: m.Advance, Horizon: 200 * time.Millisecond, UsualPrompt: m.engine.UsualPrompt, Demand: d, Domain: "d",
 	}
 }
 
 // letIn is the share of requests for which a choice finds room.
-func letIn(l []Candidate, w *Outlook) float64 {
+func letIn(l []Candidate, w *Forecast) float64 {
 	const tries = 2000
 	r := seeded()
 	n := 0
 	for range tries {
-		if c, _ := Choose(l, nil, w, r); c.Room {
+		if c, _ := Choose(l, nil, w, r); c.HasCapacity {
 			n++
 		}
 	}
@@ -52,7 +52,7 @@
 	It("spreads what all gateways send on one view, where each taking the best would send all to one upstream", func() {
 		l := fleetOf(10, 24)
 		l[3].Running, l[3].Waiting = 2, 0
-		most := func(w *Outlook) int {
+		most := func(w *Forecast) int {
 			sent := map[id.Instance]int{}
 			r := seeded()
 			for range 20 {
@@ -66,14 +66,14 @@
 			return n
 		}
 		Expect(most(outlookOf(Demand{}))).To(Equal(20))
-		Expect(most(outlookOf(Demand{"d": {First: 300}}))).To(BeNumerically("<=", 10))
+		Expect(most(outlookOf(Demand{"d": {OnTime: 300}}))).To(BeNumerically("<=", 10))
 	})
 
 	It("lets in all while there is room, and of what is too much the same number whatever is offered", func() {
-		Expect(letIn(fleetOf(10, 4), outlookOf(Demand{"d": {First: 90}}))).To(Equal(1.0))
+		Expect(letIn(fleetOf(10, 4), outlookOf(Demand{"d": {OnTime: 90}}))).To(Equal(1.0))
 		full := fleetOf(10, 17)
 		let := func(perSecond float64) float64 {
-			return perSecond * letIn(full, outlookOf(Demand{"d": {First: perSecond}}))
+			return perSecond * letIn(full, outlookOf(Demand{"d": {OnTime: perSecond}}))
 		}
 		Expect(let(300)).To(BeNumerically(">", 30))
 		Expect(let(600)).To(BeNumerically("~", let(300), 0.2*let(300)))
@@ -81,10 +81,10 @@
 
 	It("lets callers that can still be served in time go first, and late ones into what is left", func() {
 		full := fleetOf(10, 17)
-		late := outlookOf(Demand{"d": {First: 300, Late: 100}})
+		late := outlookOf(Demand{"d": {OnTime: 300, Late: 100}})
 		late.Late = true
 		Expect(letIn(full, late)).To(BeZero())
-		spare := outlookOf(Demand{"d": {First: 20, Late: 20}})
+		spare := outlookOf(Demand{"d": {OnTime: 20, Late: 20}})
 		spare.Late = true
 		Expect(letIn(fleetOf(10, 8), spare)).To(Equal(1.0))
 	})
@@ -105,29 +105,29 @@
 			}
 			return n
 		}
-		Expect(sent(Demand{"d0": {First: 40}, "d1": {First: 40}, "d2": {First: 40}})).To(HaveKeyWithValue(id.Domain("d0"), BeNumerically(">=", 280)))
-		idle := sent(Demand{"d0": {First: 120}, "d1": {First: 120}, "d2": {First: 5}})
+		Expect(sent(Demand{"d0": {OnTime: 40}, "d1": {OnTime: 40}, "d2": {OnTime: 40}})).To(HaveKeyWithValue(id.Domain("d0"), BeNumerically(">=", 280)))
+		idle := sent(Demand{"d0": {OnTime: 120}, "d1": {OnTime: 120}, "d2": {OnTime: 5}})
 		Expect(idle["d2"]).To(BeNumerically("~", 100, 60))
 		Expect(idle["d1"]).To(BeNumerically("<", 15))
 	})
 
 	It("stands any figures that others send", func() {
 		for _, v := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -5, 1e300} {
-			c, ok := Choose(fleetOf(3, 2), nil, outlookOf(Demand{"d": {First: v, Late: v}, "e": {First: v}}), seeded())
+			c, ok := Choose(fleetOf(3, 2), nil, outlookOf(Demand{"d": {OnTime: v, Late: v}, "e": {OnTime: v}}), seeded())
 			Expect(ok).To(BeTrue())
 			Expect(c.Instance).NotTo(BeEmpty())
 		}
 	})
 
 	It("never makes more work of an upstream than it had, nor less than none", func() {
-		m := NewModel(engine())
+		m := NewLatencyModel(engine())
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			c := Candidate{
 				Slots: 16, Running: rapid.IntRange(0, 20).Draw(t, "running"), Waiting: rapid.IntRange(0, 40).Draw(t, "waiting"),
-				Backlog: rapid.Float64Range(0, 40000).Draw(t, "backlog"), Pace: rapid.Float64Range(1, 8).Draw(t, "pace"),
+				Backlog: rapid.Float64Range(0, 40000).Draw(t, "backlog"), Slowdown: rapid.Float64Range(1, 8).Draw(t, "pace"),
 			}
 			was := c
-			m.Later(&c, time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms"))*time.Millisecond)
+			m.Advance(&c, time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms"))*time.Millisecond)
 			if c.Running < 0 || c.Waiting < 0 || c.Backlog < 0 || c.load() > was.load() || c.Backlog > was.Backlog {
 				t.Fatalf("%+v became %+v", was, c)
 			}
@@ -138,11 +138,11 @@
 var _ = Describe("the rate of requests", func() {
 	It("is right soon after a start, steady under a steady load, and fades", func() {
 		now := time.Unix(0, 0)
-		r := NewRate(func() time.Time { return now })
+		r := NewRateMeter(func() time.Time { return now })
 		r.PerSecond("p")
 		for i := range 100 {
 			now = now.Add(20 * time.Millisecond)
-			r.Came("p")
+			r.Record("p")
 			if i > 20 {
 				Expect(r.PerSecond("p")).To(BeNumerically("~", 50, 5))
 			}
@@ -155,20 +155,20 @@
 var _ = Describe("the time that a caller has lost", func() {
 	It("is what its patience lacks of the longest on its route, and nothing for a caller that says none", func() {
 		now := time.Unix(0, 0)
-		p := NewPatience(func() time.Time { return now })
-		Expect(p.Lost("r", 6*time.Second)).To(BeZero())
-		Expect(p.Lost("r", 5500*time.Millisecond)).To(Equal(500 * time.Millisecond))
-		Expect(p.Lost("r", 5990*time.Millisecond)).To(BeZero())
-		Expect(p.Lost("r", 0)).To(BeZero())
-		Expect(p.Lost("other", time.Second)).To(BeZero())
+		p := NewPatienceTracker(func() time.Time { return now })
+		Expect(p.TimeLost("r", 6*time.Second)).To(BeZero())
+		Expect(p.TimeLost("r", 5500*time.Millisecond)).To(Equal(500 * time.Millisecond))
+		Expect(p.TimeLost("r", 5990*time.Millisecond)).To(BeZero())
+		Expect(p.TimeLost("r", 0)).To(BeZero())
+		Expect(p.TimeLost("other", time.Second)).To(BeZero())
 		now = now.Add(patienceWindow)
-		Expect(p.Lost("r", 5500*time.Millisecond)).To(Equal(500 * time.Millisecond))
+		Expect(p.TimeLost("r", 5500*time.Millisecond)).To(Equal(500 * time.Millisecond))
 		now = now.Add(patienceWindow)
-		Expect(p.Lost("r", 5500*time.Millisecond)).To(BeZero(), "the callers of the route have become less patient")
+		Expect(p.TimeLost("r", 5500*time.Millisecond)).To(BeZero(), "the callers of the route have become less patient")
 		now = now.Add(2 * patienceWindow)
-		p.Lost("other", time.Second)
+		p.TimeLost("other", time.Second)
 		now = now.Add(2 * patienceWindow)
-		p.Lost("other", time.Second)
+		p.TimeLost("other", time.Second)
 		Expect(p.routes).NotTo(HaveKey(id.Route("r")))
 	})
 })
@@ -194,12 +194,12 @@
 			for n := range rapid.IntRange(1, 40).Draw(t, "upstreams") {
 				l = append(l, Candidate{
 					Instance: id.Instance(fmt.Sprint(n)), Domain: id.Domain(fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "domain"))),
-					Slots: 4, Waiting: rapid.IntRange(0, 6).Draw(t, "waiting"), Known: rapid.Bool().Draw(t, "known"),
+					Slots: 4, Waiting: rapid.IntRange(0, 6).Draw(t, "waiting"), Fresh: rapid.Bool().Draw(t, "known"),
 				})
 			}
-			w := &Outlook{
-				First:  func(c *Candidate) time.Duration { return time.Duration(1+c.load()) * 10 * time.Millisecond },
-				Prompt: 100, Domain: "0",
+			w := &Forecast{
+				PredictFirstEvent:  func(c *Candidate) time.Duration { return time.Duration(1+c.load()) * 10 * time.Millisecond },
+				UsualPrompt: 100, Domain: "0",
 			}
 			y := layouts.Get().(*layout)
 			defer layouts.Put(y)
--- a/internal/placement/patience.go
+++ b/internal/placement/patience.go
@@ -15,9 +15,9 @@
 	leastLost = 50 * time.Millisecond
 )
 
-// Patience learns by route how long callers wait from their first try on. A caller that comes back says what is left of
+// PatienceTracker learns by route how long callers wait from their first try on. A caller that comes back says what is left of
 // that, so the difference is the time that it has lost already. It is safe for concurrent use.
-type Patience struct {
+type PatienceTracker struct {
 	now    func() time.Time
 	mu     sync.Mutex
 	routes map[id.Route]*longest
@@ -29,13 +29,13 @@
 	before, current time.Duration
 }
 
-// NewPatience makes an empty record.
-func NewPatience(now func() time.Time) *Patience {
-	return &Patience{now: now, routes: map[id.Route]*longest{}, turn: now().Add(patienceWindow)}
+// NewPatienceTracker makes an empty record.
+func NewPatienceTracker(now func() time.Time) *PatienceTracker {
+	return &PatienceTracker{now: now, routes: map[id.Route]*longest{}, turn: now().Add(patienceWindow)}
 }
 
-// Lost notes a caller's patience and returns the time that it has lost before this try; 0 where it says none.
-func (p *Patience) Lost(r id.Route, patience time.Duration) time.Duration {
+// TimeLost notes a caller's patience and returns the time that it has lost before this try; 0 where it says none.
+func (p *PatienceTracker) TimeLost(r id.Route, patience time.Duration) time.Duration {
 	if patience <= 0 {
 		return 0
 	}
@@ -57,7 +57,7 @@
 
 // advance begins a new window where the current one is over, and forgets routes without callers in both. The caller
 // holds the lock.
-func (p *Patience) advance() {
+func (p *PatienceTracker) advance() {
 	now := p.now()
 	if now.Before(p.turn) {
 		return
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -35,16 +35,16 @@
 
 var _ = Describe("the predicted first event", func() {
 	It("never falls with more work at the upstream, a longer prompt or a slower pace", func() {
-		m := NewModel(engine())
+		m := NewLatencyModel(engine())
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			c := Candidate{
 				Slots: 16, Running: rapid.IntRange(0, 16).Draw(t, "running"), Waiting: rapid.IntRange(0, 40).Draw(t, "waiting"),
-				Backlog: rapid.Float64Range(0, 20000).Draw(t, "backlog"), Pace: rapid.Float64Range(1, 4).Draw(t, "pace"),
+				Backlog: rapid.Float64Range(0, 20000).Draw(t, "backlog"), Slowdown: rapid.Float64Range(1, 4).Draw(t, "pace"),
 			}
 			prompt := rapid.Float64Range(1, 4000).Draw(t, "prompt")
 			base := m.FirstEvent(&c, prompt)
 			slower, longer := c, c
-			slower.Pace *= 2
+			slower.Slowdown *= 2
 			if m.FirstEvent(&slower, prompt) < base || m.FirstEvent(&longer, prompt+500) < base {
 				t.Fatalf("less time for more work than %v", base)
 			}
@@ -52,16 +52,16 @@
 	})
 
 	It("grows by the engine's time for a request with each place in the queue", func() {
-		m := NewModel(engine())
-		full := Candidate{Slots: 16, Running: 16, Pace: 1}
-		queue := Candidate{Slots: 16, Running: 16, Waiting: 4, Pace: 1}
-		Expect(m.FirstEvent(&queue, 100) - m.FirstEvent(&full, 100)).To(Equal(4 * m.PerRequest(16)))
-		Expect(m.PerRequest(16)).To(BeNumerically("~", 107*time.Millisecond, 15*time.Millisecond))
+		m := NewLatencyModel(engine())
+		full := Candidate{Slots: 16, Running: 16, Slowdown: 1}
+		queue := Candidate{Slots: 16, Running: 16, Waiting: 4, Slowdown: 1}
+		Expect(m.FirstEvent(&queue, 100) - m.FirstEvent(&full, 100)).To(Equal(4 * m.TimePerRequest(16)))
+		Expect(m.TimePerRequest(16)).To(BeNumerically("~", 107*time.Millisecond, 15*time.Millisecond))
 	})
 })
 
 var _ = Describe("the choice of an upstream", func() {
-	m := NewModel(engine())
+	m := NewLatencyModel(engine())
 	predict := func(c *Candidate) time.Duration { return m.FirstEvent(c, 900) }
 
 	It("takes one that is not tried, no suspect while another is left, and none clearly busier than the best", func() {
@@ -71,12 +71,12 @@
 			for i := range rapid.IntRange(0, 8).Draw(t, "upstreams") {
 				n := id.Instance(fmt.Sprint(i))
 				l = append(l, Candidate{
-					Instance: n, Slots: 16, Running: rapid.IntRange(0, 16).Draw(t, "running"), Pace: 1, Known: true,
+					Instance: n, Slots: 16, Running: rapid.IntRange(0, 16).Draw(t, "running"), Slowdown: 1, Fresh: true,
 					Suspect: rapid.Bool().Draw(t, "suspect"),
 				})
 				tried[n] = rapid.Bool().Draw(t, "tried")
 			}
-			c, ok := Choose(l, tried, &Outlook{First: predict}, seeded())
+			c, ok := Choose(l, tried, &Forecast{PredictFirstEvent: predict}, seeded())
 			sound, some, least := false, false, time.Hour
 			for i := range l {
 				if tried[l[i].Instance] {
@@ -100,12 +100,12 @@
 	It("spreads equals, so that gateways with the same view do not all take the same one", func() {
 		var l []Candidate
 		for i := range 8 {
-			l = append(l, Candidate{Instance: id.Instance(fmt.Sprint(i)), Slots: 16, Running: 4, Pace: 1, Known: true})
+			l = append(l, Candidate{Instance: id.Instance(fmt.Sprint(i)), Slots: 16, Running: 4, Slowdown: 1, Fresh: true})
 		}
 		got := map[id.Instance]int{}
 		r := seeded()
 		for range 800 {
-			c, _ := Choose(l, nil, &Outlook{First: predict}, r)
+			c, _ := Choose(l, nil, &Forecast{PredictFirstEvent: predict}, r)
 			got[c.Instance]++
 		}
 		for n, k := range got {
@@ -115,28 +115,28 @@
 	})
 
 	It("stays in the own failure domain unless another saves more than the way costs", func() {
-		near := Candidate{Instance: "near", Slots: 16, Running: 2, Pace: 1, Known: true, Domain: "d"}
-		far := Candidate{Instance: "far", Slots: 16, Running: 2, Pace: 1, Known: true}
+		near := Candidate{Instance: "near", Slots: 16, Running: 2, Slowdown: 1, Fresh: true, Domain: "d"}
+		far := Candidate{Instance: "far", Slots: 16, Running: 2, Slowdown: 1, Fresh: true}
 		for range 50 {
-			c, _ := Choose([]Candidate{far, near}, nil, &Outlook{Domain: "d", First: func(*Candidate) time.Duration { return 100 * time.Millisecond }}, seeded())
+			c, _ := Choose([]Candidate{far, near}, nil, &Forecast{Domain: "d", PredictFirstEvent: func(*Candidate) time.Duration { return 100 * time.Millisecond }}, seeded())
 			Expect(c.Instance).To(Equal(id.Instance("near")))
 		}
 		near.Running, near.Waiting = 16, 10
-		c, _ := Choose([]Candidate{far, near}, nil, &Outlook{Domain: "d", First: predict}, seeded())
+		c, _ := Choose([]Candidate{far, near}, nil, &Forecast{Domain: "d", PredictFirstEvent: predict}, seeded())
 		Expect(c.Instance).To(Equal(id.Instance("far")))
 	})
 })
 
 var _ = Describe("the mean age of figures", func() {
 	aged := func(d id.Domain, age time.Duration, known bool) Candidate {
-		return Candidate{Domain: d, Age: age, Known: known}
+		return Candidate{Domain: d, Age: age, Fresh: known}
 	}
 
 	It("is that of the own failure domain, where any are known there", func() {
 		l := []Candidate{aged("d", 100*time.Millisecond, true), aged("d", time.Hour, false), aged("e", time.Second, true)}
-		Expect(MeanAge(l, "d")).To(Equal(100 * time.Millisecond))
-		Expect(MeanAge(l[1:], "d")).To(Equal(time.Second))
-		Expect(MeanAge(nil, "d")).To(BeZero())
+		Expect(MeanReportAge(l, "d")).To(Equal(100 * time.Millisecond))
+		Expect(MeanReportAge(l[1:], "d")).To(Equal(time.Second))
+		Expect(MeanReportAge(nil, "d")).To(BeZero())
 	})
 })
 
@@ -150,100 +150,100 @@
 	})
 
 	It("adds its own sends to a report that is older, and not to one that is newer", func() {
-		t.SetReport("a", LoadReport{Running: 3, Waiting: 1, Taken: now})
+		t.SetReport("a", LoadReport{Running: 3, Waiting: 1, ReceivedAt: now})
 		now = now.Add(10 * time.Millisecond)
 		f := t.Begin("a", 500)
 		Expect(t.Candidate(one, 900).Waiting).To(Equal(2))
 		now = now.Add(10 * time.Millisecond)
-		t.SetReport("a", LoadReport{Running: 4, Waiting: 1, Taken: now})
+		t.SetReport("a", LoadReport{Running: 4, Waiting: 1, ReceivedAt: now})
 		Expect(t.Candidate(one, 900).Waiting).To(Equal(1))
 		f.End()
 		Expect(t.Candidate(one, 900).InFlight).To(BeZero())
 	})
 
 	It("guesses from its own requests where the report is too old", func() {
-		t.SetReport("a", LoadReport{Running: 9, Taken: now})
+		t.SetReport("a", LoadReport{Running: 9, ReceivedAt: now})
 		t.Begin("a", 500)
 		now = now.Add(2 * reportLife)
 		c := t.Candidate(one, 900)
-		Expect(c.Known).To(BeFalse())
+		Expect(c.Fresh).To(BeFalse())
 		Expect(c.load()).To(Equal(shareOfAll))
 	})
 
 	It("believes a report as long as that says", func() {
-		t.SetReport("a", LoadReport{Running: 9, Taken: now, Until: now.Add(3 * reportLife)})
+		t.SetReport("a", LoadReport{Running: 9, ReceivedAt: now, ValidUntil: now.Add(3 * reportLife)})
 		now = now.Add(3 * reportLife)
-		Expect(t.Candidate(one, 900).Known).To(BeTrue())
+		Expect(t.Candidate(one, 900).Fresh).To(BeTrue())
 		now = now.Add(time.Millisecond)
-		Expect(t.Candidate(one, 900).Known).To(BeFalse())
-		_, ok := t.Fresh("a")
+		Expect(t.Candidate(one, 900).Fresh).To(BeFalse())
+		_, ok := t.FreshReport("a")
 		Expect(ok).To(BeFalse())
 	})
 
 	It("leaves a failed upstream alone for longer each time, a stalled one for longer still, and forgives a success", func() {
 		f := t.Begin("a", 1)
-		f.Failed()
+		f.RecordFailure()
 		Expect(t.Candidate(one, 0).Suspect).To(BeTrue())
 		now = now.Add(suspectBase + time.Millisecond)
 		Expect(t.Candidate(one, 0).Suspect).To(BeFalse())
-		f.Failed()
+		f.RecordFailure()
 		now = now.Add(suspectBase + time.Millisecond)
 		Expect(t.Candidate(one, 0).Suspect).To(BeTrue())
 		now = now.Add(suspectMost)
-		t.Begin("a", 1).Started()
-		f.Stalled()
+		t.Begin("a", 1).RecordFirstEvent()
+		f.RecordStall()
 		now = now.Add(stallBase - time.Millisecond)
 		Expect(t.Candidate(one, 0).Suspect).To(BeTrue())
 	})
 
 	It("takes an upstream to be as fast as its report says, however long its answers took of late", func() {
-		t.SetReport("a", LoadReport{Pace: 1.5, Taken: now})
+		t.SetReport("a", LoadReport{Slowdown: 1.5, ReceivedAt: now})
 		for range 20 {
 			f := t.Begin("a", 1)
 			now = now.Add(20 * time.Millisecond)
-			f.Started()
+			f.RecordFirstEvent()
 			f.End()
 		}
-		Expect(t.Candidate(one, 0).Pace).To(Equal(1.5))
+		Expect(t.Candidate(one, 0).Slowdown).To(Equal(1.5))
 	})
 
 	It("knows nothing of an upstream that has started again under its ID: no figures, requests or failures", func() {
 		one := &facts.Instance{ID: "i", Born: 10, Address: "a", Slots: 16}
-		t.SetReport("a", LoadReport{Born: 10, Running: 9, Held: []facts.Held{{Model: "m", Revision: 3}}, Taken: now})
+		t.SetReport("a", LoadReport{Incarnation: 10, Running: 9, Held: []facts.Held{{Model: "m", Revision: 3}}, ReceivedAt: now})
 		old := t.Begin("a", 500)
-		old.Stalled()
+		old.RecordStall()
 		Expect(t.Candidate(one, 900).Suspect).To(BeTrue())
 		again := &facts.Instance{ID: "i", Born: 20, Address: "a", Slots: 16}
 		_, fresh := t.Report(again)
 		Expect(fresh).To(BeFalse())
 		c := t.Candidate(again, 900)
-		Expect(c.Suspect || c.Known || c.InFlight > 0).To(BeFalse())
-		old.Failed()
-		old.Started()
+		Expect(c.Suspect || c.Fresh || c.InFlight > 0).To(BeFalse())
+		old.RecordFailure()
+		old.RecordFirstEvent()
 		old.End()
-		t.SetReport("a", LoadReport{Born: 10, Running: 9, Taken: now})
+		t.SetReport("a", LoadReport{Incarnation: 10, Running: 9, ReceivedAt: now})
 		c = t.Candidate(again, 900)
-		Expect(c.Suspect || c.Known || c.InFlight > 0).To(BeFalse(), "a late report and an old request's end are of the start before")
+		Expect(c.Suspect || c.Fresh || c.InFlight > 0).To(BeFalse(), "a late report and an old request's end are of the start before")
 	})
 
 	It("learns of a new start by a report too, and takes an entry that lags behind for what was", func() {
 		one := &facts.Instance{ID: "i", Born: 10, Address: "a", Slots: 16}
 		t.Report(one)
 		t.Begin("a", 500)
-		t.SetReport("a", LoadReport{Born: 20, Taken: now})
+		t.SetReport("a", LoadReport{Incarnation: 20, ReceivedAt: now})
 		l, fresh := t.Report(one)
 		Expect(fresh).To(BeTrue())
-		Expect(l.Born).To(Equal(id.Birth(20)))
-		Expect(t.Candidate(one, 900).Born).To(Equal(id.Birth(20)))
+		Expect(l.Incarnation).To(Equal(id.Birth(20)))
+		Expect(t.Candidate(one, 900).Incarnation).To(Equal(id.Birth(20)))
 		Expect(t.Candidate(one, 900).InFlight).To(BeZero())
 		now = now.Add(2 * reportLife)
 		l, fresh = t.Report(one)
 		Expect(fresh).To(BeFalse())
-		Expect(l.Born).To(Equal(id.Birth(20)), "that it has started again does not age")
+		Expect(l.Incarnation).To(Equal(id.Birth(20)), "that it has started again does not age")
 	})
 
 	It("keeps what it knows where neither list nor reports say when an upstream started", func() {
-		t.SetReport("a", LoadReport{Running: 9, Taken: now})
+		t.SetReport("a", LoadReport{Running: 9, ReceivedAt: now})
 		f := t.Begin("a", 500)
 		Expect(t.Candidate(one, 900).Running).To(Equal(9))
 		born := &facts.Instance{ID: "i", Born: 10, Address: "a", Slots: 16}
@@ -252,7 +252,7 @@
 	})
 
 	It("takes an upstream behind a narrow link as suspect", func() {
-		t.SetReport("a", LoadReport{Narrow: true, Taken: now})
+		t.SetReport("a", LoadReport{Congested: true, ReceivedAt: now})
 		Expect(t.Candidate(one, 0).Suspect).To(BeTrue())
 	})
 })
@@ -260,12 +260,12 @@
 var _ = Describe("the budget for repeats", func() {
 	It("is never passed by all gateways together, whatever the time of day does", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			rule := BudgetRule{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}
+			rule := RetryBudgetRule{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}
 			n := rapid.IntRange(1, 8).Draw(t, "gateways")
 			now := time.Now()
-			var all []*Budget
+			var all []*RetryBudget
 			for range n {
-				all = append(all, NewBudget(rule, func() int { return n }, func() time.Time { return now }))
+				all = append(all, NewRetryBudget(rule, func() int { return n }, func() time.Time { return now }))
 			}
 			type event struct {
 				at     time.Time
@@ -276,11 +276,11 @@
 				now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 				b := all[rapid.IntRange(0, n-1).Draw(t, "gateway")]
 				for range rapid.IntRange(0, 40).Draw(t, "requests") {
-					b.Request("p")
+					b.RecordRequest("p")
 					events = append(events, event{at: now})
 				}
 				for range rapid.IntRange(0, 40).Draw(t, "repeats") {
-					if b.Take("p") {
+					if b.TakeRetry("p") {
 						events = append(events, event{at: now, repeat: true})
 					}
 				}
@@ -304,12 +304,12 @@
 
 var _ = Describe("an early refusal", func() {
 	It("does not ask how long a prompt is: long ones are let in as often as short ones", func() {
-		m := NewModel(engine())
-		c := Candidate{Slots: 16, Running: 16, Waiting: 1, Pace: 1}
+		m := NewLatencyModel(engine())
+		c := Candidate{Slots: 16, Running: 16, Waiting: 1, Slowdown: 1}
 		Expect(m.FirstEvent(&c, 3800)).To(BeNumerically(">", m.FirstEvent(&c, 100)))
-		Expect(InTime(m.Admission(&c), 0, 400*time.Millisecond)).To(BeTrue())
+		Expect(InTime(m.AdmissionLatency(&c), 0, 400*time.Millisecond)).To(BeTrue())
 		c.Waiting = 5
-		Expect(InTime(m.Admission(&c), 0, 400*time.Millisecond)).To(BeFalse())
+		Expect(InTime(m.AdmissionLatency(&c), 0, 400*time.Millisecond)).To(BeFalse())
 	})
 
 	It("names a time within what callers heed, whatever their patience", func() {
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -14,8 +14,8 @@
 // Candidate is what is known of an upstream that may take a request.
 type Candidate struct {
 	Instance id.Instance
-	// Born is the newest start that is known of the upstream.
-	Born    id.Birth
+	// Incarnation is the newest start that is known of the upstream.
+	Incarnation    id.Birth
 	Address string
 	// Revision is the version of the model that it serves; 0 for plain services.
 	Revision id.Revision
@@ -26,31 +26,31 @@
 	Running, Waiting int
 	// Backlog is the number of prompt tokens that wait to be read there, as far as it can be told.
 	Backlog float64
-	// Spare is the number of prompt tokens that the engine has time to read beside its backlog before the time that the
-	// figures stand for; see Model.Later.
-	Spare float64
-	// Known says that Running and Waiting are fresh; otherwise they are a guess from the own requests alone.
-	Known bool
+	// SpareTokens is the number of prompt tokens that the engine has time to read beside its backlog before the time that the
+	// figures stand for; see LatencyModel.Advance.
+	SpareTokens float64
+	// Fresh says that Running and Waiting are fresh; otherwise they are a guess from the own requests alone.
+	Fresh bool
 	// Age is how old the upstream's figures are, where they are known.
 	Age time.Duration
 	// InFlight is the number of this process's requests there.
 	InFlight int
-	// Pace is how many times longer than usual the upstream works.
-	Pace float64
+	// Slowdown is how many times longer than usual the upstream works.
+	Slowdown float64
 	// Rest is for how much longer the upstream wants no request of this process.
 	Rest time.Duration
-	// Narrow is true while requests queue on their way there.
-	Narrow bool
-	// Config is the version of the configuration that the VM had by its last report; 0 where that is not known.
-	Config uint64
-	// Wait is how long a request is taken to wait there before it begins, and Margin what must be left of its version's
+	// Congested is true while requests queue on their way there.
+	Congested bool
+	// ConfigVersion is the version of the configuration that the VM had by its last report; 0 where that is not known.
+	ConfigVersion uint64
+	// ExpectedWait is how long a request is taken to wait there before it begins, and Margin what must be left of its version's
 	// time when it is sent.
-	Wait, Margin time.Duration
-	// Prove says that the way there is to be proven anew before a request is sent: of the version's time too little is
+	ExpectedWait, Margin time.Duration
+	// NeedsProbe says that the way there is to be proven anew before a request is sent: of the version's time too little is
 	// left to bear what may have come onto it since.
-	Prove bool
-	// Way is what has been seen of the way there.
-	Way Way
+	NeedsProbe bool
+	// Path is what has been seen of the way there.
+	Path Path
 	// Suspect is true after failures that have not yet been outlived.
 	Suspect bool
 	// Limit is how much the upstream takes; nil where it names no limit.
@@ -62,10 +62,10 @@
 	return c.Running + c.Waiting
 }
 
-// MeanAge is the mean age of the figures of a failure domain's upstreams, where they are known, or of all where none of
+// MeanReportAge is the mean age of the figures of a failure domain's upstreams, where they are known, or of all where none of
 // the domain's are: those of other domains come less often, and say nothing of when the next ones of the own domain
 // come.
-func MeanAge(l []Candidate, d id.Domain) time.Duration {
+func MeanReportAge(l []Candidate, d id.Domain) time.Duration {
 	if near, n := meanAge(l, func(c *Candidate) bool { return c.Domain == d }); n > 0 {
 		return near
 	}
@@ -76,7 +76,7 @@
 func meanAge(l []Candidate, counts func(c *Candidate) bool) (mean time.Duration, n int) {
 	var sum time.Duration
 	for i := range l {
-		if l[i].Known && counts(&l[i]) {
+		if l[i].Fresh && counts(&l[i]) {
 			sum += l[i].Age
 			n++
 		}
@@ -84,18 +84,18 @@
 	return sum / time.Duration(max(1, n)), n
 }
 
-// Model predicts times on one sort of engine.
-type Model struct {
+// LatencyModel predicts times on one sort of engine.
+type LatencyModel struct {
 	engine *catalog.Engine
 }
 
-// NewModel makes the model of an engine.
-func NewModel(e *catalog.Engine) Model {
-	return Model{engine: e}
+// NewLatencyModel makes the model of an engine.
+func NewLatencyModel(e *catalog.Engine) LatencyModel {
+	return LatencyModel{engine: e}
 }
 
 // pass is how long the token steps of one pass take with a number of running requests.
-func (m Model) pass(running int) time.Duration {
+func (m LatencyModel) pass(running int) time.Duration {
 	if running <= 0 {
 		return 0
 	}
@@ -106,35 +106,35 @@
 }
 
 // read is how long a number of prompt tokens takes to read.
-func (m Model) read(tokens float64) time.Duration {
+func (m LatencyModel) read(tokens float64) time.Duration {
 	return time.Duration(tokens / m.engine.ReadPerSecond * float64(time.Second))
 }
 
-// PerRequest is the engine's time for a usual request when all slots are taken: what each place in the queue costs.
-func (m Model) PerRequest(slots int) time.Duration {
+// TimePerRequest is the engine's time for a usual request when all slots are taken: what each place in the queue costs.
+func (m LatencyModel) TimePerRequest(slots int) time.Duration {
 	e := m.engine
 	passes := e.UsualAnswer / float64(max(1, e.Stride))
 	return time.Duration(passes*float64(m.pass(slots))/float64(max(1, slots))) + m.read(e.UsualPrompt)
 }
 
-// Later takes off an upstream what it is expected to do in a time: running requests end after their share of the engine's
+// Advance takes off an upstream what it is expected to do in a time: running requests end after their share of the engine's
 // passes, and those that wait are read as fast as the engine reads and take the places. What it could read beyond that is Spare.
-func (m Model) Later(c *Candidate, d time.Duration) {
+func (m LatencyModel) Advance(c *Candidate, d time.Duration) {
 	slots := max(1, c.Slots)
 	running := min(c.Running, slots)
 	if d <= 0 {
 		return
 	}
-	worked := float64(d) / max(1, c.Pace)
+	worked := float64(d) / max(1, c.Slowdown)
 	ended := 0
 	if running > 0 {
-		each := float64(running) * float64(m.PerRequest(running))
+		each := float64(running) * float64(m.TimePerRequest(running))
 		ended = min(running, int(math.Round(float64(running)*worked/each)))
 	}
 	perToken := float64(time.Second)/m.engine.ReadPerSecond + float64(m.pass(running))/float64(max(1, m.engine.ReadChunk))
 	read := worked / perToken
 	begun := min(c.Waiting, slots-running+ended, int(math.Round(read/max(1, m.engine.UsualPrompt))))
-	c.Spare = max(0, read-float64(begun)*m.engine.UsualPrompt)
+	c.SpareTokens = max(0, read-float64(begun)*m.engine.UsualPrompt)
 	if c.Waiting > 0 {
 		c.Backlog *= float64(c.Waiting-begun) / float64(c.Waiting)
 	}
@@ -143,23 +143,23 @@
 }
 
 // FirstEvent predicts the time from sending a request to an upstream until its first event.
-func (m Model) FirstEvent(c *Candidate, prompt float64) time.Duration {
+func (m LatencyModel) FirstEvent(c *Candidate, prompt float64) time.Duration {
 	slots := max(1, c.Slots)
 	pass := m.pass(min(c.load(), slots))
 	tokens := prompt + c.Backlog
 	passes := 1 + tokens/float64(max(1, m.engine.ReadChunk))
 	d := pass/2 + m.read(tokens) + time.Duration(passes*float64(pass))
 	if over := c.load() + 1 - slots; over > 0 {
-		d = pass + m.read(prompt) + time.Duration(over)*m.PerRequest(slots)
+		d = pass + m.read(prompt) + time.Duration(over)*m.TimePerRequest(slots)
 	}
-	return time.Duration(float64(d) * max(1, c.Pace))
+	return time.Duration(float64(d) * max(1, c.Slowdown))
 }
 
 // admissionPrompt is the prompt, in usual ones, by which a request is let in or refused, whatever its own: with its own
 // one, long prompts were refused nearly always once short ones had filled the queue.
 const admissionPrompt = 1.5
 
-// Admission is the time to the first event that decides whether requests are let in at an upstream.
-func (m Model) Admission(c *Candidate) time.Duration {
+// AdmissionLatency is the time to the first event that decides whether requests are let in at an upstream.
+func (m LatencyModel) AdmissionLatency(c *Candidate) time.Duration {
 	return m.FirstEvent(c, admissionPrompt*m.engine.UsualPrompt)
 }
--- a/internal/placement/rate.go
+++ b/internal/placement/rate.go
@@ -12,8 +12,8 @@
 // a burst.
 const rateMemory = time.Second
 
-// Rate follows how many requests of a kind a second come to this process for each pool. It is safe for concurrent use.
-type Rate struct {
+// RateMeter follows how many requests of a kind a second come to this process for each pool. It is safe for concurrent use.
+type RateMeter struct {
 	now   func() time.Time
 	mu    sync.Mutex
 	pools map[id.Pool]*decayed
@@ -25,27 +25,27 @@
 	at           time.Time
 }
 
-// NewRate makes an empty record.
-func NewRate(now func() time.Time) *Rate {
-	return &Rate{now: now, pools: map[id.Pool]*decayed{}}
+// NewRateMeter makes an empty record.
+func NewRateMeter(now func() time.Time) *RateMeter {
+	return &RateMeter{now: now, pools: map[id.Pool]*decayed{}}
 }
 
-// Came notes a request.
-func (r *Rate) Came(p id.Pool) {
+// Record notes a request.
+func (r *RateMeter) Record(p id.Pool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.at(p).count++
 }
 
 // PerSecond is the present rate of requests for a pool.
-func (r *Rate) PerSecond(p id.Pool) float64 {
+func (r *RateMeter) PerSecond(p id.Pool) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.at(p).perSecond()
 }
 
 // Total is the present rate over all pools.
-func (r *Rate) Total() float64 {
+func (r *RateMeter) Total() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	sum := 0.0
@@ -64,7 +64,7 @@
 }
 
 // at brings a pool's count to the present; the caller holds the lock.
-func (r *Rate) at(p id.Pool) *decayed {
+func (r *RateMeter) at(p id.Pool) *decayed {
 	now := r.now()
 	d := r.pools[p]
 	if d == nil {
--- a/internal/placement/rest.go
+++ b/internal/placement/rest.go
@@ -22,9 +22,9 @@
 	return max(0, r.until.Sub(now))
 }
 
-// Rests notes that the instance that has had the request wants no further one of this process for a time. A longer rest
+// RecordRest notes that the instance that has had the request wants no further one of this process for a time. A longer rest
 // that it has asked for before holds on. It is true of a rest that begins.
-func (f *Flight) Rests(n id.Instance, d time.Duration) bool {
+func (f *Attempt) RecordRest(n id.Instance, d time.Duration) bool {
 	t := f.tracker
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -35,8 +35,8 @@
 	return left == 0
 }
 
-// Resting is for how much longer an instance at an address wants no request of this process; 0 where it takes them.
-func (t *Tracker) Resting(address string, n id.Instance) time.Duration {
+// RestRemaining is for how much longer an instance at an address wants no request of this process; 0 where it takes them.
+func (t *Tracker) RestRemaining(address string, n id.Instance) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.known[address]
@@ -50,17 +50,17 @@
 type RestingUpstream struct {
 	Address  string
 	Instance id.Instance
-	Left     time.Duration
+	Remaining     time.Duration
 }
 
-// Rests lists the upstreams that rest, by address.
-func (t *Tracker) Rests() (l []RestingUpstream) {
+// RestingUpstreams lists the upstreams that rest, by address.
+func (t *Tracker) RestingUpstreams() (l []RestingUpstream) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
 	for address, u := range t.known {
 		if left := u.rest.left(u.rest.instance, now); left > 0 {
-			l = append(l, RestingUpstream{Address: address, Instance: u.rest.instance, Left: left})
+			l = append(l, RestingUpstream{Address: address, Instance: u.rest.instance, Remaining: left})
 		}
 	}
 	slices.SortFunc(l, func(a, b RestingUpstream) int { return strings.Compare(a.Address, b.Address) })
--- a/internal/placement/rest_test.go
+++ b/internal/placement/rest_test.go
@@ -17,7 +17,7 @@
 	rest := func(d time.Duration) bool {
 		f := t.Begin("a", 0)
 		defer f.End()
-		return f.Rests("i", d)
+		return f.RecordRest("i", d)
 	}
 	BeforeEach(func() {
 		now = time.Unix(1000, 0)
@@ -30,7 +30,7 @@
 		Expect(rest(time.Second)).To(BeFalse())
 		Expect(t.Candidate(u, 0).Rest).To(Equal(2 * time.Second))
 		Expect(rest(4 * time.Second)).To(BeFalse())
-		Expect(t.Resting("a", "i")).To(Equal(4 * time.Second))
+		Expect(t.RestRemaining("a", "i")).To(Equal(4 * time.Second))
 		now = now.Add(4 * time.Second)
 		Expect(t.Candidate(u, 0).Rest).To(BeZero())
 		Expect(rest(time.Second)).To(BeTrue())
@@ -38,18 +38,18 @@
 
 	It("rests although a report shows it idle, and although its entry goes for a time", func() {
 		rest(time.Minute)
-		t.SetReport("a", LoadReport{Taken: now})
+		t.SetReport("a", LoadReport{ReceivedAt: now})
 		now = now.Add(wayMemory + time.Second)
 		t.Sweep(map[string]bool{})
 		Expect(t.Candidate(u, 0).Rest).To(BeNumerically(">", 0))
 	})
 
 	It("rests alone: not the next instance at its address, nor its next start", func() {
-		t.SetReport("a", LoadReport{Taken: now, Born: id.Birth(8)})
+		t.SetReport("a", LoadReport{ReceivedAt: now, Incarnation: id.Birth(8)})
 		rest(time.Minute)
 		Expect(t.Candidate(&facts.Instance{ID: "j", Address: "a"}, 0).Rest).To(BeZero())
-		Expect(t.Resting("b", "i")).To(BeZero())
-		t.SetReport("a", LoadReport{Taken: now, Born: id.Birth(9)})
+		Expect(t.RestRemaining("b", "i")).To(BeZero())
+		t.SetReport("a", LoadReport{ReceivedAt: now, Incarnation: id.Birth(9)})
 		Expect(t.Candidate(&facts.Instance{ID: "i", Address: "a", Born: 9}, 0).Rest).To(BeZero())
 	})
 
--- a/internal/placement/tracker.go
+++ b/internal/placement/tracker.go
@@ -25,25 +25,25 @@
 
 // LoadReport is what an upstream's stager says of it.
 type LoadReport struct {
-	// Born is the start of the upstream that the figures are of; 0 where that is not known.
-	Born             id.Birth
+	// Incarnation is the start of the upstream that the figures are of; 0 where that is not known.
+	Incarnation             id.Birth
 	Running, Waiting int
-	Pace             float64
+	Slowdown             float64
 	Held             []facts.Held
 	Closed           bool
 	Down             bool
 	// Leaving is true while the upstream says that it is about to end.
 	Leaving bool
-	// Narrow is true while requests queue on their way to the upstream.
-	Narrow bool
-	// Config is the version of the configuration that the upstream's VM has; 0 where that is not known.
-	Config uint64
-	// Taken is when the report came, and MadeAfter a moment after which it was made; zero where none is known.
-	Taken, MadeAfter time.Time
-	// StampHeld is how long the stager had had the stamp of MadeAfter by then, and Every how far apart its reports are.
-	StampHeld, Every time.Duration
-	// Until is when it is no longer believed; zero is reportLife after it was taken.
-	Until time.Time
+	// Congested is true while requests queue on their way to the upstream.
+	Congested bool
+	// ConfigVersion is the version of the configuration that the upstream's VM has; 0 where that is not known.
+	ConfigVersion uint64
+	// ReceivedAt is when the report came, and EchoedStamp a moment after which it was made; zero where none is known.
+	ReceivedAt, EchoedStamp time.Time
+	// StampHeldFor is how long the stager had had the stamp of EchoedStamp by then, and Interval how far apart its reports are.
+	StampHeldFor, Interval time.Duration
+	// ValidUntil is when it is no longer believed; zero is reportLife after it was taken.
+	ValidUntil time.Time
 	// Limit is what it tells of the upstream's limit.
 	Limit throttle.Announcement
 }
@@ -62,7 +62,7 @@
 	sent     map[*sent]struct{}
 	failures int
 	until    time.Time
-	way      Way
+	way      Path
 	// limit is nil while the upstream is not known to have one.
 	limit *throttle.KnownLimit
 	// limited is the instance that the limit is of; nil before one was looked at.
@@ -126,22 +126,22 @@
 func (t *Tracker) SetReport(address string, r LoadReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if u := t.start(address, r.Born); u != nil {
+	if u := t.start(address, r.Incarnation); u != nil {
 		u.report = r
-		u.hearLimit(r.Limit, r.Taken)
-		u.way.Answer(r.MadeAfter, r.StampHeld, r.Every, t.now())
+		u.hearLimit(r.Limit, r.ReceivedAt)
+		u.way.RecordEcho(r.EchoedStamp, r.StampHeldFor, r.Interval, t.now())
 	}
 }
 
-// Asked notes that a stamp was sent to the stager beside an upstream.
-func (t *Tracker) Asked(address string, stamp time.Time) {
+// RecordProbe notes that a stamp was sent to the stager beside an upstream.
+func (t *Tracker) RecordProbe(address string, stamp time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.at(address).way.Ask(stamp)
+	t.at(address).way.RecordProbe(stamp)
 }
 
-// Fresh returns an upstream's report if it is new enough to be believed.
-func (t *Tracker) Fresh(address string) (LoadReport, bool) {
+// FreshReport returns an upstream's report if it is new enough to be believed.
+func (t *Tracker) FreshReport(address string) (LoadReport, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.known[address]
@@ -158,41 +158,41 @@
 	defer t.mu.Unlock()
 	u := t.listed(i)
 	if !u.report.believed(t.now()) {
-		return LoadReport{Born: u.born}, false
+		return LoadReport{Incarnation: u.born}, false
 	}
 	r := u.report
-	r.Born = u.born
+	r.Incarnation = u.born
 	return r, true
 }
 
 // believed says whether a report is new enough.
 func (r *LoadReport) believed(now time.Time) bool {
-	if r.Until.IsZero() {
-		return now.Sub(r.Taken) <= reportLife
+	if r.ValidUntil.IsZero() {
+		return now.Sub(r.ReceivedAt) <= reportLife
 	}
-	return !now.After(r.Until)
+	return !now.After(r.ValidUntil)
 }
 
 // usedFor is how long after a request an upstream counts as used: callers come back within about that.
 const usedFor = 2 * time.Second
 
-// Used says whether requests of this process are at an upstream, or were sent there lately.
-func (t *Tracker) Used(address string) bool {
+// RecentlyUsed says whether requests of this process are at an upstream, or were sent there lately.
+func (t *Tracker) RecentlyUsed(address string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.known[address]
 	return u != nil && (len(u.sent) > 0 || t.now().Sub(u.used) < usedFor)
 }
 
-// Flight is a request at an upstream.
-type Flight struct {
+// Attempt is a request at an upstream.
+type Attempt struct {
 	tracker  *Tracker
 	upstream *upstream
 	sent     *sent
 }
 
 // Begin notes a request that is about to be sent.
-func (t *Tracker) Begin(address string, tokens float64) *Flight {
+func (t *Tracker) Begin(address string, tokens float64) *Attempt {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.at(address)
@@ -201,13 +201,13 @@
 	if u.limit != nil {
 		u.limit.CountSent()
 	}
-	return &Flight{tracker: t, upstream: u, sent: s}
+	return &Attempt{tracker: t, upstream: u, sent: s}
 }
 
-// Started notes the first event and returns the time that it took. How long requests took of late is no part of a prediction:
+// RecordFirstEvent notes the first event and returns the time that it took. How long requests took of late is no part of a prediction:
 // an upstream's own report tells its pace, and a gateway that took all for slow, from a queue that is long over, would send
 // them nothing and never learn better.
-func (f *Flight) Started() time.Duration {
+func (f *Attempt) RecordFirstEvent() time.Duration {
 	t := f.tracker
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -218,23 +218,23 @@
 }
 
 // End notes that the request is over.
-func (f *Flight) End() {
+func (f *Attempt) End() {
 	f.tracker.mu.Lock()
 	defer f.tracker.mu.Unlock()
 	delete(f.upstream.sent, f.sent)
 }
 
-// Failed notes that the upstream failed the request, and leaves it alone for a while.
-func (f *Flight) Failed() {
+// RecordFailure notes that the upstream failed the request, and leaves it alone for a while.
+func (f *Attempt) RecordFailure() {
 	f.suspect(suspectBase)
 }
 
-// Stalled notes that the upstream let the request wait, and leaves it alone for longer.
-func (f *Flight) Stalled() {
+// RecordStall notes that the upstream let the request wait, and leaves it alone for longer.
+func (f *Attempt) RecordStall() {
 	f.suspect(stallBase)
 }
 
-func (f *Flight) suspect(base time.Duration) {
+func (f *Attempt) suspect(base time.Duration) {
 	t, u := f.tracker, f.upstream
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -248,16 +248,16 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	c := Candidate{Instance: i.ID, Address: i.Address, Domain: i.Domain, Slots: i.Slots, Pace: 1, Born: i.Born}
+	c := Candidate{Instance: i.ID, Address: i.Address, Domain: i.Domain, Slots: i.Slots, Slowdown: 1, Incarnation: i.Born}
 	u := t.listed(i)
-	c.Born = max(c.Born, u.born)
-	c.InFlight, c.Way = len(u.sent), u.way
+	c.Incarnation = max(c.Incarnation, u.born)
+	c.InFlight, c.Path = len(u.sent), u.way
 	c.Suspect, c.Rest = now.Before(u.until), u.rest.left(i.ID, now)
-	c.Known = u.report.believed(now)
+	c.Fresh = u.report.believed(now)
 	if u.limit != nil {
 		t.limit(&c, u, i)
 	}
-	if !c.Known {
+	if !c.Fresh {
 		c.Waiting = shareOfAll * len(u.sent)
 		for s := range u.sent {
 			if !s.started {
@@ -266,14 +266,14 @@
 		}
 		return c
 	}
-	c.Age = max(0, now.Sub(u.report.Taken))
-	c.Narrow, c.Config = u.report.Narrow, u.report.Config
-	c.Suspect = c.Suspect || c.Narrow
+	c.Age = max(0, now.Sub(u.report.ReceivedAt))
+	c.Congested, c.ConfigVersion = u.report.Congested, u.report.ConfigVersion
+	c.Suspect = c.Suspect || c.Congested
 	c.Running, c.Waiting = u.report.Running, u.report.Waiting
-	c.Pace = max(1, u.report.Pace)
+	c.Slowdown = max(1, u.report.Slowdown)
 	c.Backlog = float64(u.report.Waiting) * usualPrompt
 	for s := range u.sent {
-		if s.at.After(u.report.Taken) {
+		if s.at.After(u.report.ReceivedAt) {
 			c.Waiting++
 			c.Backlog += s.tokens
 		}
@@ -299,8 +299,8 @@
 	}
 }
 
-// Instances lists the upstreams of a pool.
-func Instances(l []*facts.Instance, p id.Pool) []*facts.Instance {
+// PoolInstances lists the upstreams of a pool.
+func PoolInstances(l []*facts.Instance, p id.Pool) []*facts.Instance {
 	var of []*facts.Instance
 	for _, i := range l {
 		if i.Pool == p {
--- a/internal/placement/way_test.go
+++ b/internal/placement/way_test.go
@@ -24,7 +24,7 @@
 	stamps        []passing
 	// here is the newest stamp that has arrived, and when it did.
 	here passing
-	way  Way
+	way  Path
 }
 
 type passing struct {
@@ -36,7 +36,7 @@
 	q.now = q.now.Add(wayStep)
 	q.behind = max(0, q.behind-wayStep) + more
 	if n%int(wayAsks/wayStep) == 0 {
-		q.way.Ask(q.now)
+		q.way.RecordProbe(q.now)
 		q.stamps = append(q.stamps, passing{sent: q.now, arrives: q.now.Add(q.behind)})
 	}
 	for len(q.stamps) > 0 && !q.stamps[0].arrives.After(q.now) {
@@ -44,7 +44,7 @@
 	}
 	if q.now.Sub(q.reported) >= wayAsks {
 		q.reported = q.now
-		q.way.Answer(q.here.sent, q.now.Sub(q.here.arrives), wayAsks, q.now)
+		q.way.RecordEcho(q.here.sent, q.now.Sub(q.here.arrives), wayAsks, q.now)
 	}
 }
 
@@ -58,11 +58,11 @@
 				grows := time.Duration(rapid.IntRange(0, int(3*wayStep)).Draw(t, "grows"))
 				for n := range rapid.IntRange(1, 150).Draw(t, "steps") {
 					q.step(phase*1000+n, grows)
-					bears, p := q.way.Bears(q.now, wayWithin)
+					bears, p := q.way.MaxDelay(q.now, wayWithin)
 					switch {
-					case p == Clear && q.behind > bears:
+					case p == PathClear && q.behind > bears:
 						t.Fatalf("sent to wait %v and to bear %v", q.behind, bears)
-					case p == Queued && bears != wayWithin:
+					case p == PathQueued && bears != wayWithin:
 						t.Fatalf("something queues, and %v of %v are left", bears, wayWithin)
 					}
 				}
@@ -72,15 +72,15 @@
 
 	It("is bounded by the version's time, and is borne no shorter while nothing comes", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			var w Way
+			var w Path
 			now, last := start, time.Duration(0)
-			w.Answer(now, 0, wayAsks, now.Add(10*time.Millisecond))
+			w.RecordEcho(now, 0, wayAsks, now.Add(10*time.Millisecond))
 			for range rapid.IntRange(1, 60).Draw(t, "steps") {
 				now = now.Add(time.Duration(rapid.IntRange(1, 400).Draw(t, "ms")) * time.Millisecond)
 				if rapid.Bool().Draw(t, "ask") {
-					w.Ask(now)
+					w.RecordProbe(now)
 				}
-				bears, _ := w.Bears(now, wayWithin)
+				bears, _ := w.MaxDelay(now, wayWithin)
 				if bears < last || bears > wayWithin {
 					t.Fatalf("%v after %v", bears, last)
 				}
@@ -93,8 +93,8 @@
 		q := &queued{now: start, reported: start.Add(70 * time.Millisecond)}
 		for n := range 400 {
 			q.step(n, 0)
-			if bears, p := q.way.Bears(q.now, wayWithin); n > 40 {
-				Expect(p).To(Equal(Clear))
+			if bears, p := q.way.MaxDelay(q.now, wayWithin); n > 40 {
+				Expect(p).To(Equal(PathClear))
 				Expect(bears).To(BeNumerically("<=", time.Second+200*time.Millisecond))
 			}
 		}
@@ -102,7 +102,7 @@
 		last := time.Time{}
 		for n := range 1000 {
 			q.step(401+n, 0)
-			if _, p := q.way.Bears(q.now, wayWithin); p == Queued {
+			if _, p := q.way.MaxDelay(q.now, wayWithin); p == PathQueued {
 				last = q.now
 			}
 		}
@@ -110,21 +110,21 @@
 	})
 
 	It("is not clear while an answer stays out for more than a report and a half", func() {
-		var w Way
-		w.Answer(start, 0, wayAsks, start.Add(20*time.Millisecond))
-		w.Ask(start.Add(200 * time.Millisecond))
+		var w Path
+		w.RecordEcho(start, 0, wayAsks, start.Add(20*time.Millisecond))
+		w.RecordProbe(start.Add(200 * time.Millisecond))
 		due := start.Add(200*time.Millisecond + 300*time.Millisecond + wayClear)
-		_, p := w.Bears(due.Add(-10*time.Millisecond), wayWithin)
-		Expect(p).To(Equal(Clear))
-		_, p = w.Bears(due.Add(10*time.Millisecond), wayWithin)
-		Expect(p).To(Equal(Queued))
+		_, p := w.MaxDelay(due.Add(-10*time.Millisecond), wayWithin)
+		Expect(p).To(Equal(PathClear))
+		_, p = w.MaxDelay(due.Add(10*time.Millisecond), wayWithin)
+		Expect(p).To(Equal(PathQueued))
 	})
 
 	It("of which nothing was seen is taken for half of a version's time: a process that starts, or a stager that brings no stamps back", func() {
-		var w Way
-		w.Ask(start)
-		bears, p := w.Bears(start.Add(time.Hour), wayWithin)
-		Expect(p).To(Equal(Unproven))
+		var w Path
+		w.RecordProbe(start)
+		bears, p := w.MaxDelay(start.Add(time.Hour), wayWithin)
+		Expect(p).To(Equal(PathUnproven))
 		Expect(bears).To(Equal(wayWithin / 2))
 	})
 
@@ -136,13 +136,13 @@
 		t := NewTracker(func() time.Time { return now })
 		i := &facts.Instance{ID: "i", Address: "a"}
 		slow, quick := now.Add(-2*wayClear), now
-		t.SetReport("a", LoadReport{Taken: now, MadeAfter: slow, Every: time.Second})
+		t.SetReport("a", LoadReport{ReceivedAt: now, EchoedStamp: slow, Interval: time.Second})
 		t.Sweep(map[string]bool{})
 		now = now.Add(time.Second)
-		t.SetReport("a", LoadReport{Taken: now, MadeAfter: quick, StampHeld: time.Second, Every: time.Second})
-		w := t.Candidate(i, 0).Way
-		_, p := w.Bears(now, wayWithin)
-		Expect(p).To(Equal(Queued))
+		t.SetReport("a", LoadReport{ReceivedAt: now, EchoedStamp: quick, StampHeldFor: time.Second, Interval: time.Second})
+		w := t.Candidate(i, 0).Path
+		_, p := w.MaxDelay(now, wayWithin)
+		Expect(p).To(Equal(PathQueued))
 		now = now.Add(20 * time.Second)
 		t.Sweep(map[string]bool{})
 		Expect(t.known).To(BeEmpty())
@@ -152,9 +152,9 @@
 		now := start
 		t := NewTracker(func() time.Time { return now })
 		now = now.Add(time.Second)
-		t.SetReport("a", LoadReport{Born: 1, MadeAfter: start, Every: wayAsks, Taken: now})
-		t.SetReport("a", LoadReport{Born: 2, Taken: now})
-		_, p := t.known["a"].way.Bears(now, wayWithin)
-		Expect(p).To(Equal(Queued))
+		t.SetReport("a", LoadReport{Incarnation: 1, EchoedStamp: start, Interval: wayAsks, ReceivedAt: now})
+		t.SetReport("a", LoadReport{Incarnation: 2, ReceivedAt: now})
+		_, p := t.known["a"].way.MaxDelay(now, wayWithin)
+		Expect(p).To(Equal(PathQueued))
 	})
 })
--- a/internal/reports/far_test.go
+++ b/internal/reports/far_test.go
@@ -113,7 +113,7 @@
 			Expect(err).NotTo(HaveOccurred())
 			s.take(b)
 			now = now.Add(after)
-			_, ok := s.Tracker().Fresh("a")
+			_, ok := s.Tracker().FreshReport("a")
 			now = came
 			return ok
 		}
@@ -137,16 +137,16 @@
 		}
 		Expect(each()).To(BeFalse())
 		for range 20 {
-			s.Offers().Came("p", false)
+			s.Offers().Record("p", false)
 		}
-		s.Offers().Far.Came("p")
+		s.Offers().CrossDomain.Record("p")
 		Expect(each()).To(BeFalse())
-		s.Offers().Far.Came("p")
-		s.Offers().Far.Came("p")
+		s.Offers().CrossDomain.Record("p")
+		s.Offers().CrossDomain.Record("p")
 		Expect(each()).To(BeTrue())
 		now = now.Add(3 * time.Second)
 		for range 20 {
-			s.Offers().Came("p", false)
+			s.Offers().Record("p", false)
 		}
 		Expect(each()).To(BeFalse())
 	})
--- a/internal/reports/news.go
+++ b/internal/reports/news.go
@@ -81,7 +81,7 @@
 		if p := c.Services[i.Pool]; p == nil || p.Engine == nil {
 			continue
 		}
-		if _, fresh := s.tracker.Fresh(i.Address); fresh {
+		if _, fresh := s.tracker.FreshReport(i.Address); fresh {
 			l = append(l, i)
 		} else {
 			silent = append(silent, i)
--- a/internal/reports/news_test.go
+++ b/internal/reports/news_test.go
@@ -51,7 +51,7 @@
 			defer mu.Unlock()
 			return map[int]int{0: heard[0], 1: heard[1], 2: heard[2]}
 		}).Should(Equal(map[int]int{0: 0, 1: 1, 2: 1}))
-		_, ok := gateways[1].Tracker().Fresh("127.0.0.1:9")
+		_, ok := gateways[1].Tracker().FreshReport("127.0.0.1:9")
 		Expect(ok).To(BeFalse())
 	})
 
@@ -66,13 +66,13 @@
 		f.SetInstance(&facts.Instance{ID: "plain", Pool: "plain", Address: "127.0.0.99:9", Domain: "d9"})
 		Expect(s.relays()).To(HaveLen(newsRelays), "any stager will do while none has reported")
 		for n := range 8 {
-			s.Tracker().SetReport(fmt.Sprintf("127.0.0.%d:9", n+1), placement.LoadReport{Taken: time.Now()})
+			s.Tracker().SetReport(fmt.Sprintf("127.0.0.%d:9", n+1), placement.LoadReport{ReceivedAt: time.Now()})
 		}
 		for range 50 {
 			domains := map[id.Domain]bool{}
 			for _, i := range s.relays() {
 				domains[i.Domain] = true
-				_, fresh := s.Tracker().Fresh(i.Address)
+				_, fresh := s.Tracker().FreshReport(i.Address)
 				Expect(fresh).To(BeTrue())
 			}
 			Expect(domains).To(HaveLen(newsRelays))
--- a/internal/reports/permits.go
+++ b/internal/reports/permits.go
@@ -103,7 +103,7 @@
 func (s *Subscriber) takePermit(r *pb.UpstreamReport) {
 	s.vars.Add("permit_answers", 1)
 	s.questions.answer(r.GetPermit().GetNumber(), r.GetPermit().GetPermit())
-	s.tracker.HearLimit(r.GetAddress(), told(r))
+	s.tracker.RecordLimitAnnouncement(r.GetAddress(), told(r))
 }
 
 // told reads what a stager tells of its upstream's limit. Rates that are none are as if it told nothing.
@@ -128,7 +128,7 @@
 	if r.GetLimit() != nil {
 		return
 	}
-	rate, born, untold := s.tracker.Untold(r.GetAddress(), r.GetIncarnation())
+	rate, born, untold := s.tracker.UnannouncedLimit(r.GetAddress(), r.GetIncarnation())
 	if untold && s.mayRetell(r.GetAddress()) {
 		s.TellLimit(r.GetAddress(), born, rate)
 	}
--- a/internal/reports/probe_test.go
+++ b/internal/reports/probe_test.go
@@ -34,7 +34,7 @@
 		f.SetWanted("m", facts.Naming{Revision: 2, Date: dating.Bracket{After: now}})
 		s.probe()
 		Expect(comes()).To(BeTrue())
-		s.tracker.SetReport("127.0.0.1:9", placement.LoadReport{Taken: now, Held: []facts.Held{{Model: "m", Revision: 2}}})
+		s.tracker.SetReport("127.0.0.1:9", placement.LoadReport{ReceivedAt: now, Held: []facts.Held{{Model: "m", Revision: 2}}})
 		s.probe()
 		Expect(comes()).To(BeFalse(), "it serves the newest")
 	})
@@ -88,10 +88,10 @@
 		Expect(err).NotTo(HaveOccurred())
 		now = now.Add(20 * time.Millisecond)
 		s.take(text[:n])
-		l, _ := s.tracker.Fresh("a")
-		Expect(l.MadeAfter).To(Equal(sent))
-		Expect(l.StampHeld).To(Equal(180 * time.Millisecond))
-		Expect(l.Every).To(Equal(nearEvery))
+		l, _ := s.tracker.FreshReport("a")
+		Expect(l.EchoedStamp).To(Equal(sent))
+		Expect(l.StampHeldFor).To(Equal(180 * time.Millisecond))
+		Expect(l.Interval).To(Equal(nearEvery))
 	})
 
 	it("is told which configuration its stager has: it is behind while that is older than this process's", func() {
@@ -107,8 +107,8 @@
 			n, err := own.Read(text)
 			Expect(err).NotTo(HaveOccurred())
 			s.take(text[:n])
-			l, _ := s.tracker.Fresh("a")
-			return l.Config
+			l, _ := s.tracker.FreshReport("a")
+			return l.ConfigVersion
 		}
 		Expect(config()).To(BeZero())
 		far.SetCatalog(catalog.New(2, nil, nil, nil, catalog.Limits{}))
--- a/internal/reports/reports_test.go
+++ b/internal/reports/reports_test.go
@@ -56,7 +56,7 @@
 		go func() { _ = s.Run(ctx) }()
 		Eventually(func() bool {
 			r.Publish(&pb.UpstreamReport{Address: "127.0.0.1:9", Running: 3, Held: []*pb.HeldWeights{{Model: "m", Revision: 2}}}, time.Now())
-			l, ok := s.Tracker().Fresh("127.0.0.1:9")
+			l, ok := s.Tracker().FreshReport("127.0.0.1:9")
 			return ok && l.Running == 3 && l.Held[0] == facts.Held{Model: "m", Revision: 2}
 		}).Should(BeTrue())
 		Expect(s.Gateways()).To(Equal(1))
@@ -77,7 +77,7 @@
 			s.take(b)
 		}
 		running := func() int {
-			l, _ := s.Tracker().Fresh("a")
+			l, _ := s.Tracker().FreshReport("a")
 			return l.Running
 		}
 		send(900, 1, 1)
@@ -111,9 +111,9 @@
 		f.SetInstance(&facts.Instance{ID: "i", Pool: "p", Address: "a"})
 		s := NewSubscriber(socket(), 9, "d", f, func() time.Time { return now }, quiet)
 		s.newer(&pb.UpstreamReport{Address: "a", Incarnation: 1, Number: 1, Demand: []*pb.Demand{{Domain: "e", Offered: 300}}})
-		Expect(s.Demand("p")["e"].First).To(Equal(300.0))
+		Expect(s.Demand("p")["e"].OnTime).To(Equal(300.0))
 		now = now.Add(demandLife)
-		Expect(s.Demand("p")["e"].First).To(BeZero())
+		Expect(s.Demand("p")["e"].OnTime).To(BeZero())
 	})
 
 	it("tell at once, also beyond the own failure domain, that an upstream says that it leaves", func() {
@@ -136,7 +136,7 @@
 			return err == nil
 		}
 		leaves := func() bool {
-			l, ok := s.Tracker().Fresh("a")
+			l, ok := s.Tracker().FreshReport("a")
 			return ok && l.Leaving
 		}
 		Expect([]bool{publish(false), publish(false), publish(false)}).To(Equal([]bool{true, true, false}))
@@ -198,22 +198,22 @@
 		subscribe("127.0.0.1:2", "d", 30)
 		subscribe("127.0.0.1:3", "e", 50)
 		publish()
-		Expect(s.Demand("p")).To(Equal(placement.Demand{"d": {First: 50, Late: 2}, "e": {First: 50, Late: 1}}))
+		Expect(s.Demand("p")).To(Equal(placement.Demand{"d": {OnTime: 50, Late: 2}, "e": {OnTime: 50, Late: 1}}))
 		subscribe("127.0.0.1:3", "e", 52)
 		publish()
-		Expect(s.Demand("p")["e"].First).To(Equal(50.0), "a small change waits for the next report that tells the demand")
+		Expect(s.Demand("p")["e"].OnTime).To(Equal(50.0), "a small change waits for the next report that tells the demand")
 		subscribe("127.0.0.1:3", "e", 90)
 		publish()
-		Expect(s.Demand("p")["e"].First).To(Equal(90.0))
+		Expect(s.Demand("p")["e"].OnTime).To(Equal(90.0))
 		Expect(s.Demand("other")).To(Equal(placement.Demand{"d": {}}))
 	})
 
 	it("count what comes to the own process, whatever stagers know of it yet", func() {
 		s := NewSubscriber(socket(), 1, "d", facts.New(time.Now), time.Now, quiet)
 		for range 10 {
-			s.Offers().Came("p", false)
+			s.Offers().Record("p", false)
 		}
-		Expect(s.Demand("p")["d"].First).To(BeNumerically(">", 9))
+		Expect(s.Demand("p")["d"].OnTime).To(BeNumerically(">", 9))
 	})
 
 	it("are refused beyond a bounded number of subscribers, and to senders that are no addresses", func() {
--- a/internal/reports/subscribe.go
+++ b/internal/reports/subscribe.go
@@ -59,7 +59,7 @@
 
 // wantsEach says whether so much goes beyond the own failure domain that the choice there needs views as fresh as at home.
 func (s *Subscriber) wantsEach() bool {
-	return s.offers.Far.Total() > eachShare*s.offers.Total()
+	return s.offers.CrossDomain.Total() > eachShare*s.offers.Total()
 }
 
 // subscription encodes what a group of stagers is told.
@@ -69,7 +69,7 @@
 	stamp := s.stamps.at(now)
 	b, err := proto.Marshal(&pb.ReportSubscription{
 		Sender: s.conn.LocalAddr().String(), ConfigOffset: uint64(heard), Domain: string(s.domain),
-		Offered: s.offers.First.PerSecond(of.pool), OfferedLate: s.offers.Late.PerSecond(of.pool), Each: of.each,
+		Offered: s.offers.OnTime.PerSecond(of.pool), OfferedLate: s.offers.Late.PerSecond(of.pool), Each: of.each,
 		Stamp: stamp, Proved: s.proved(of.pool),
 	})
 	if err != nil {
@@ -127,7 +127,7 @@
 // each says whether each report of an upstream in another failure domain is wanted: where much is sent beyond the own
 // one, and, of one that lags behind a newer version, where anything was sent lately.
 func (s *Subscriber) each(i *facts.Instance) bool {
-	return s.wantsEach() || (i.Domain != s.domain && s.tracker.Used(i.Address) && s.lags(i))
+	return s.wantsEach() || (i.Domain != s.domain && s.tracker.RecentlyUsed(i.Address) && s.lags(i))
 }
 
 // lags says whether an upstream serves a version that a newer one follows.
@@ -174,7 +174,7 @@
 		return
 	}
 	s.sent(i.Domain, len(t.bytes))
-	s.tracker.Asked(i.Address, t.stamp)
+	s.tracker.RecordProbe(i.Address, t.stamp)
 }
 
 // sweep forgets stagers whose upstreams are no longer listed.
--- a/internal/reports/subscriber.go
+++ b/internal/reports/subscriber.go
@@ -91,7 +91,7 @@
 	domain  id.Domain
 	facts   *facts.Facts
 	tracker *placement.Tracker
-	offers  *placement.Offers
+	offers  *placement.DemandMeter
 	now     func() time.Time
 	log     *log.Logger
 	vars    *expvar.Map
@@ -121,7 +121,7 @@
 		stagers: map[string]*heard{}, stamps: newStamps(now()),
 		refusedLines: rate.NewLimiter(refusedPerSecond, 1), newsLimit: rate.NewLimiter(newsPerSecond, newsAtOnce),
 		OnNews:    func(*pb.CrashNews) {},
-		offers:    placement.NewOffers(now),
+		offers:    placement.NewDemandMeter(now),
 		sent:      func(id.Domain, int) {},
 		questions: questions{waiting: map[uint64]chan uint64{}},
 	}
@@ -135,7 +135,7 @@
 }
 
 // Offers follows what callers bring to this process.
-func (s *Subscriber) Offers() *placement.Offers {
+func (s *Subscriber) Offers() *placement.DemandMeter {
 	return s.offers
 }
 
@@ -143,7 +143,7 @@
 // few gateways yet, so the largest figures count; what comes to this process itself is the least of its failure domain.
 func (s *Subscriber) Demand(p id.Pool) placement.Demand {
 	most := placement.Demand{}
-	most.Raise(s.domain, placement.Offered{First: s.offers.First.PerSecond(p), Late: s.offers.Late.PerSecond(p)})
+	most.MergeMax(s.domain, placement.OfferedLoad{OnTime: s.offers.OnTime.PerSecond(p), Late: s.offers.Late.PerSecond(p)})
 	now := s.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,7 +153,7 @@
 		}
 		if h := s.stagers[i.Address]; h != nil && now.Before(h.demandUntil) {
 			for d, o := range h.demand {
-				most.Raise(d, o)
+				most.MergeMax(d, o)
 			}
 		}
 	}
@@ -233,15 +233,15 @@
 		s.hear(&r, w)
 	}
 	p := placement.LoadReport{
-		Born:    id.Birth(r.GetBorn()),
-		Running: int(r.GetRunning()), Waiting: int(r.GetWaiting()), Pace: r.GetPace(),
-		Closed: r.GetClosed(), Down: r.GetDown(), Narrow: r.GetNarrow(), Leaving: r.GetLeaving(), Taken: s.now(), MadeAfter: made,
-		StampHeld: time.Duration(r.GetEchoHeldMs()) * time.Millisecond, Every: nearEvery, Config: r.GetConfig(),
+		Incarnation:    id.Birth(r.GetBorn()),
+		Running: int(r.GetRunning()), Waiting: int(r.GetWaiting()), Slowdown: r.GetPace(),
+		Closed: r.GetClosed(), Down: r.GetDown(), Congested: r.GetNarrow(), Leaving: r.GetLeaving(), ReceivedAt: s.now(), EchoedStamp: made,
+		StampHeldFor: time.Duration(r.GetEchoHeldMs()) * time.Millisecond, Interval: nearEvery, ConfigVersion: r.GetConfig(),
 		Limit: told(&r),
 	}
 	if every := time.Duration(r.GetEveryMs()) * time.Millisecond; every > 0 {
-		p.Every = every
-		p.Until = p.Taken.Add(min(time.Duration(farLives*float64(every)), farMost))
+		p.Interval = every
+		p.ValidUntil = p.ReceivedAt.Add(min(time.Duration(farLives*float64(every)), farMost))
 	}
 	for _, h := range r.GetHeld() {
 		s.prove(r.GetAddress(), h)
@@ -343,7 +343,7 @@
 func demand(l []*pb.Demand) placement.Demand {
 	of := placement.Demand{}
 	for _, d := range l {
-		of.Raise(id.Domain(d.GetDomain()), placement.Offered{First: d.GetOffered(), Late: d.GetOfferedLate()})
+		of.MergeMax(id.Domain(d.GetDomain()), placement.OfferedLoad{OnTime: d.GetOffered(), Late: d.GetOfferedLate()})
 	}
 	return of
 }
