--- a/internal/decide/draw.go
+++ b/internal/decide/draw.go
@@ -21,19 +21,19 @@
 
 // draw draws a size: log-normal by its mean and spread, and again where it is above the bound, a few times.
 func (s Size) draw(r *rand.Rand) float64 {
-	if s.Spread <= 0 {
+	if s.RelativeDeviation <= 0 {
 		return s.Mean
 	}
 	const tries = 8
-	variance := math.Log(1 + s.Spread*s.Spread)
+	variance := math.Log(1 + s.RelativeDeviation*s.RelativeDeviation)
 	var x float64
 	for range tries {
 		x = s.Mean * math.Exp(math.Sqrt(variance)*r.NormFloat64()-variance/2)
-		if s.Most <= 0 || x <= s.Most {
+		if s.Max <= 0 || x <= s.Max {
 			return x
 		}
 	}
-	return s.Most
+	return s.Max
 }
 
 // demand is the requests of a play as their callers bring them.
@@ -50,7 +50,7 @@
 		for i := range homes {
 			homes[i] = clients.IntN(d.Gateways)
 		}
-		peak := d.PerS * s.highest()
+		peak := d.RequestsPerSecond * s.highest()
 		if peak <= 0 {
 			continue
 		}
@@ -66,7 +66,7 @@
 			q.prompt = math.Max(1, math.Round(q.kind.Prompt.draw(r)))
 			q.events = int(math.Max(1, math.Round(q.kind.Events.draw(r))))
 			q.elsewhere = r.IntN(max(1, d.Gateways-1))
-			q.abusive = r.Float64() < s.Abuse
+			q.abusive = r.Float64() < s.AbusiveShare
 			if thin < s.load(at)/s.highest() {
 				l = append(l, q)
 			}
--- a/internal/decide/engine.go
+++ b/internal/decide/engine.go
@@ -121,7 +121,7 @@
 			context += j.context
 		}
 	}
-	d := read/s.ReadPerS*1000 + pairs/1e6*s.PairsPerMMs + float64(firsts)*s.FirstMs
+	d := read/s.ReadPerS*1000 + pairs/1e6*s.MsPerMPairs + float64(firsts)*s.PerRequestMs
 	if writers > 0 {
 		d += float64(s.Stride) * (s.StepMs + float64(writers)*s.PerSeqMs + context/1000*s.ContextPerKMs)
 	}
@@ -189,7 +189,7 @@
 func (e *engine) back() {
 	e.born++
 	e.up = true
-	e.play.after(ms(e.play.scenario.Engine.WarmMs), func() {
+	e.play.after(ms(e.play.scenario.Engine.LoadMs), func() {
 		e.held = e.staged
 		e.urgent()
 		for _, d := range e.play.doors {
--- a/internal/decide/engine_test.go
+++ b/internal/decide/engine_test.go
@@ -10,11 +10,11 @@
 // lone is one engine behind one gateway on links that take no time, with answers of one event of one token each.
 func lone(slots int) *Scenario {
 	s := small()
-	s.Engine = EngineSheet{Slots: slots, Queue: 10000, StepMs: 5, ReadPerS: 20000, Chunk: 10000, Stride: 1, WarmMs: 300, StallMs: 1500}
-	s.Links = LinkSheet{}
-	s.Domains = []Domain{{Name: "a", Gateways: 1, Upstreams: 1, PerS: 50, Clients: 1}}
+	s.Engine = EngineParams{Slots: slots, Queue: 10000, StepMs: 5, ReadPerS: 20000, Chunk: 10000, Stride: 1, LoadMs: 300, StallMs: 1500}
+	s.Links = LinkParams{}
+	s.Domains = []Domain{{Name: "a", Gateways: 1, Upstreams: 1, RequestsPerSecond: 50, Clients: 1}}
 	s.Kinds = []Kind{{
-		Name: "k", Share: 1, AimMs: 60000, PatienceMs: 60000, Worth: 1, Attempts: 1, Prompt: Size{Mean: 200}, Events: Size{Mean: 1},
+		Name: "k", Share: 1, AimMs: 60000, PatienceMs: 60000, Worth: 1, MaxAttempts: 1, Prompt: Size{Mean: 200}, Events: Size{Mean: 1},
 	}}
 	return s
 }
@@ -25,7 +25,7 @@
 		s.Seconds = 2000
 		// 10 ms to read 200 tokens and 5 ms for the step, 50 a second: the mean wait is load x work / 2 (1 - load).
 		const work, load = 0.015, 0.75
-		p := newPlay(s, WayOf("no-admission"), 1)
+		p := newPlay(s, VariantByName("no-admission"), 1)
 		p.run()
 		sum := 0.0
 		for _, q := range p.requests {
@@ -38,7 +38,7 @@
 
 	// paced plays requests that come by a list and returns them.
 	paced := func(s *Scenario, l ...*request) []*request {
-		p := newPlay(s, WayOf("no-admission"), 1)
+		p := newPlay(s, VariantByName("no-admission"), 1)
 		p.requests = l
 		p.queue = nil
 		for _, q := range l {
@@ -78,14 +78,14 @@
 	It("lets streams that a crash cuts go on elsewhere, after they have stood still", func() {
 		s := small()
 		s.Domains = s.Domains[:1]
-		s.Domains[0].Upstreams, s.Domains[0].PerS = 2, 0
-		s.Crashes = []Crash{{At: 2, Share: 0.5, For: 9}}
+		s.Domains[0].Upstreams, s.Domains[0].RequestsPerSecond = 2, 0
+		s.Crashes = []Crash{{At: 2, Share: 0.5, Duration: 9}}
 		var l []*request
 		for i := range 6 {
 			l = append(l, &request{kind: &s.Kinds[0], at: time.Second + time.Duration(i)*30*time.Millisecond, prompt: 500, events: 30, home: i % 2})
 		}
 		stood := 0
-		p := newPlay(s, WayOf("standing"), 1)
+		p := newPlay(s, VariantByName("standing"), 1)
 		p.requests = l
 		for _, q := range l {
 			p.on(q.at, func() { p.try(q, q.home) })
@@ -105,7 +105,7 @@
 	It("is on each engine at the end, and nothing begins on an older one whose time is over", func() {
 		for _, name := range []string{"quiet", "gap"} {
 			s := example(name)
-			p := newPlay(s, WayOf("standing"), 2)
+			p := newPlay(s, VariantByName("standing"), 2)
 			p.run()
 			for _, e := range p.engines {
 				Expect(e.held).To(BeEquivalentTo(len(s.Versions)+1), string(e.name))
@@ -116,8 +116,8 @@
 
 	It("takes each engine out for its load", func() {
 		s := small()
-		s.Versions = []Version{{Named: 1, First: 1, Last: 2}}
-		p := newPlay(s, WayOf("all-at-once"), 1)
+		s.Versions = []Version{{PublishedAt: 1, FirstStagedAfter: 1, LastStagedAfter: 2}}
+		p := newPlay(s, VariantByName("all-at-once"), 1)
 		p.run()
 		for _, e := range p.engines {
 			Expect(e.held).To(BeEquivalentTo(2))
@@ -130,7 +130,7 @@
 	It("comes back once when it was told to, to another gateway, and is refused again where nothing has changed", func() {
 		s := small()
 		s.Domains[0].Upstreams, s.Domains[1].Upstreams = 0, 0
-		p := newPlay(s, WayOf("standing"), 1)
+		p := newPlay(s, VariantByName("standing"), 1)
 		p.run()
 		Expect(p.requests).NotTo(BeEmpty())
 		for _, q := range p.requests {
@@ -166,18 +166,18 @@
 		for _, spoil := range []func(s *Scenario){
 			func(s *Scenario) { s.Seconds = s.WarmUp },
 			func(s *Scenario) { s.Engine.Slots = 0 },
-			func(s *Scenario) { s.Reports.Lost = 1 },
+			func(s *Scenario) { s.Reports.LossShare = 1 },
 			func(s *Scenario) { s.Domains = nil },
 			func(s *Scenario) { s.Kinds[0].Worth = 0 },
 			func(s *Scenario) { s.Domains[0].Clients = 0 },
 			func(s *Scenario) { s.Versions, s.SwapWithin = []Version{{}}, 0 },
-			func(s *Scenario) { s.Weigh.Domain = 1 },
+			func(s *Scenario) { s.Weights.Domain = 1 },
 			func(s *Scenario) { s.Engine.ReadPerS = 0 },
 		} {
 			s := small()
 			Expect(s.check()).To(Succeed())
 			spoil(s)
-			Expect(s.check()).To(MatchError(ErrScenario))
+			Expect(s.check()).To(MatchError(ErrInvalidScenario))
 		}
 	})
 })
--- a/internal/decide/play.go
+++ b/internal/decide/play.go
@@ -23,7 +23,7 @@
 type play struct {
 	*clock
 	scenario *Scenario
-	way      *Way
+	way      *Variant
 	catalog  *catalog.Catalog
 	routes   map[string]*catalog.Route
 	links    *rand.Rand
@@ -40,14 +40,14 @@
 	over int
 }
 
-// Play plays a scenario once; the same scenario, way and seed give the same result.
-func Play(s *Scenario, w *Way, seed uint64) *Result {
+// Simulate plays a scenario once; the same scenario, way and seed give the same result.
+func Simulate(s *Scenario, w *Variant, seed uint64) *Result {
 	p := newPlay(s, w, seed)
 	p.run()
 	return p.result(seed)
 }
 
-func newPlay(s *Scenario, w *Way, seed uint64) *play {
+func newPlay(s *Scenario, w *Variant, seed uint64) *play {
 	p := &play{clock: newClock(), scenario: s, way: w, links: stream(seed, seedLinks), requests: s.demand(seed)}
 	p.configure()
 	p.news = facts.New(p.now)
@@ -85,14 +85,14 @@
 		k := &s.Kinds[i]
 		r := &catalog.Route{
 			Name: id.Route(k.Name), Host: "h", PathPrefix: "/" + k.Name + "/", Kind: catalog.Streaming, Timeout: ms(k.PatienceMs), Aim: ms(k.AimMs),
-			GapAim: ms(k.GapAimMs), Shares: []catalog.Share{{Pool: pool, Weight: 1}}, MaxAttempts: k.Attempts, Resumable: true, Public: true,
+			GapAim: ms(k.GapAimMs), Shares: []catalog.Share{{Pool: pool, Weight: 1}}, MaxAttempts: k.MaxAttempts, Resumable: true, Public: true,
 		}
 		p.routes[k.Name] = r
 		routes = append(routes, r)
 	}
 	engine := &catalog.Engine{
 		Slots: e.Slots, Step: ms(e.StepMs), PerSequence: ms(e.PerSeqMs), ContextPer1k: ms(e.ContextPerKMs), ReadPerSecond: e.ReadPerS,
-		ReadChunk: e.Chunk, Stride: e.Stride, Warm: ms(e.WarmMs), Models: []id.Model{model},
+		ReadChunk: e.Chunk, Stride: e.Stride, Warm: ms(e.LoadMs), Models: []id.Model{model},
 		UsualPrompt: s.usual(func(k *Kind) float64 { return k.Prompt.Mean }),
 		UsualAnswer: s.usual(func(k *Kind) float64 { return k.Events.Mean }) * float64(e.Stride),
 	}
@@ -108,7 +108,7 @@
 			born: 1, up: true, held: 1, staged: 1,
 		}
 		p.engines = append(p.engines, e)
-		e.every = ms(p.scenario.Reports.EveryMs)
+		e.every = ms(p.scenario.Reports.IntervalMs)
 		if p.way.reportEvery > 0 {
 			e.every = time.Duration(float64(e.every) * p.way.reportEvery)
 		}
@@ -126,9 +126,9 @@
 // way is the time of one way between two failure domains.
 func (p *play) between(a, b id.Domain) time.Duration {
 	if a == b {
-		return ms(p.scenario.Links.NearMs)
+		return ms(p.scenario.Links.LocalMs)
 	}
-	return ms(p.scenario.Links.FarMs)
+	return ms(p.scenario.Links.RemoteMs)
 }
 
 // ends is when all has ended that began.
--- a/internal/decide/play_test.go
+++ b/internal/decide/play_test.go
@@ -16,14 +16,14 @@
 func small() *Scenario {
 	return &Scenario{
 		Name: "small", Seconds: 6, WarmUp: 1, SwapWithin: 8,
-		Engine:  EngineSheet{Slots: 4, Queue: 8, StepMs: 7, PerSeqMs: 0.02, ReadPerS: 30000, Chunk: 2048, Stride: 6, WarmMs: 300, StallMs: 1500},
-		Reports: ReportSheet{EveryMs: 200, FarEveryMs: 1000, Lost: 0.01, NewsMs: 200},
-		Links:   LinkSheet{CallerMs: 3, NearMs: 0.2, FarMs: 2.8},
-		Weigh:   Weights{Window: 0.1, Kind: 0.2, Domain: 0.3, WindowS: 2},
-		Domains: []Domain{{Name: "a", Gateways: 2, Upstreams: 3, PerS: 15, Clients: 5}, {Name: "b", Gateways: 1, Upstreams: 2, PerS: 10, Clients: 3}},
+		Engine:  EngineParams{Slots: 4, Queue: 8, StepMs: 7, PerSeqMs: 0.02, ReadPerS: 30000, Chunk: 2048, Stride: 6, LoadMs: 300, StallMs: 1500},
+		Reports: ReportParams{IntervalMs: 200, RemoteIntervalMs: 1000, LossShare: 0.01, VersionDelayMs: 200},
+		Links:   LinkParams{CallerMs: 3, LocalMs: 0.2, RemoteMs: 2.8},
+		Weights:   Weights{Window: 0.1, Kind: 0.2, Domain: 0.3, WindowS: 2},
+		Domains: []Domain{{Name: "a", Gateways: 2, Upstreams: 3, RequestsPerSecond: 15, Clients: 5}, {Name: "b", Gateways: 1, Upstreams: 2, RequestsPerSecond: 10, Clients: 3}},
 		Kinds: []Kind{{
-			Name: "k", Share: 1, AimMs: 400, PatienceMs: 6000, GapAimMs: 300, Worth: 2, LateWorth: 0.5, Attempts: 2, Returns: 1,
-			Prompt: Size{Mean: 800, Spread: 1, Most: 3000}, Events: Size{Mean: 15, Spread: 0.8, Most: 50},
+			Name: "k", Share: 1, AimMs: 400, PatienceMs: 6000, GapAimMs: 300, Worth: 2, LateWorth: 0.5, MaxAttempts: 2, CallerRetries: 1,
+			Prompt: Size{Mean: 800, RelativeDeviation: 1, Max: 3000}, Events: Size{Mean: 15, RelativeDeviation: 0.8, Max: 50},
 		}},
 	}
 }
@@ -48,41 +48,41 @@
 	DescribeTable("of one seed is the same each time, and of another one it is not", func(name string) {
 		s := example(name)
 		s.Seconds = 30
-		first := text(Play(s, WayOf("standing"), 7))
-		Expect(text(Play(s, WayOf("standing"), 7))).To(Equal(first))
-		Expect(text(Play(s, WayOf("standing"), 8))).NotTo(Equal(first))
+		first := text(Simulate(s, VariantByName("standing"), 7))
+		Expect(text(Simulate(s, VariantByName("standing"), 7))).To(Equal(first))
+		Expect(text(Simulate(s, VariantByName("standing"), 8))).NotTo(Equal(first))
 	}, Entry(nil, "quiet"), Entry(nil, "gap"), Entry(nil, "overload"), Entry(nil, "crashes"), Entry(nil, "peak"))
 
 	It("brings the same callers whatever way is taken", func() {
 		s := small()
-		want := func(w *Way) (l []request) {
+		want := func(w *Variant) (l []request) {
 			for _, q := range newPlay(s, w, 3).requests {
 				l = append(l, request{at: q.at, domain: q.domain, home: q.home, prompt: q.prompt, events: q.events})
 			}
 			return l
 		}
-		Expect(want(WayOf("no-layout"))).To(Equal(want(WayOf("standing"))))
-		Expect(want(WayOf("standing"))).NotTo(BeEmpty())
+		Expect(want(VariantByName("no-layout"))).To(Equal(want(VariantByName("standing"))))
+		Expect(want(VariantByName("standing"))).NotTo(BeEmpty())
 	})
 
 	It("ends each request once and leaves nothing behind, whatever fails", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			s := small()
-			s.Domains[0].PerS = rapid.Float64Range(0, 80).Draw(t, "rate")
-			s.Reports.Lost = rapid.Float64Range(0, 0.9).Draw(t, "lost")
-			s.Abuse = rapid.Float64Range(0, 0.5).Draw(t, "abuse")
+			s.Domains[0].RequestsPerSecond = rapid.Float64Range(0, 80).Draw(t, "rate")
+			s.Reports.LossShare = rapid.Float64Range(0, 0.9).Draw(t, "lost")
+			s.AbusiveShare = rapid.Float64Range(0, 0.5).Draw(t, "abuse")
 			s.SwapWithin = rapid.Float64Range(2, 8).Draw(t, "within")
 			at := rapid.Float64Range(0, 5)
 			for range rapid.IntRange(0, 2).Draw(t, "crashes") {
-				s.Crashes = append(s.Crashes, Crash{At: at.Draw(t, "crash"), Share: rapid.Float64Range(0, 1).Draw(t, "share"), For: at.Draw(t, "for")})
+				s.Crashes = append(s.Crashes, Crash{At: at.Draw(t, "crash"), Share: rapid.Float64Range(0, 1).Draw(t, "share"), Duration: at.Draw(t, "for")})
 			}
 			named := 0.0
 			for range rapid.IntRange(0, 2).Draw(t, "versions") {
 				named += rapid.Float64Range(0.1, 3).Draw(t, "named")
 				first := at.Draw(t, "first")
-				s.Versions = append(s.Versions, Version{Named: named, First: first, Last: first + at.Draw(t, "last")})
+				s.Versions = append(s.Versions, Version{PublishedAt: named, FirstStagedAfter: first, LastStagedAfter: first + at.Draw(t, "last")})
 			}
-			w := rapid.SampledFrom(Ways()).Draw(t, "way")
+			w := rapid.SampledFrom(Variants()).Draw(t, "way")
 			p := newPlay(s, w, rapid.Uint64().Draw(t, "seed"))
 			p.run()
 			for _, q := range p.requests {
@@ -107,10 +107,10 @@
 		s := example("quiet")
 		s.Seconds, s.WarmUp, s.Versions = 4, 1, nil
 		for i := range s.Domains {
-			s.Domains[i].Gateways, s.Domains[i].Upstreams, s.Domains[i].PerS = 100, 67, 600
+			s.Domains[i].Gateways, s.Domains[i].Upstreams, s.Domains[i].RequestsPerSecond = 100, 67, 600
 		}
 		began := time.Now()
-		r := Play(s, WayOf("standing"), 1)
+		r := Simulate(s, VariantByName("standing"), 1)
 		Expect(time.Since(began)).To(BeNumerically("<", time.Minute))
 		Expect(r.InTime).To(BeNumerically(">", 0.8))
 	})
@@ -119,18 +119,18 @@
 var _ = Describe("the comparison of two ways", func() {
 	It("pairs seeds, and gives the mean difference with its interval", func() {
 		base := []*Result{{Worth: 0.5}, {Worth: 0.7}, {Worth: 0.6}}
-		other := []*Result{{Way: "w", Worth: 0.6}, {Way: "w", Worth: 0.8}, {Way: "w", Worth: 0.9}}
-		d := Pair(base, other)
-		Expect(d.Way).To(Equal("w"))
+		other := []*Result{{Variant: "w", Worth: 0.6}, {Variant: "w", Worth: 0.8}, {Variant: "w", Worth: 0.9}}
+		d := ComparePaired(base, other)
+		Expect(d.Variant).To(Equal("w"))
 		Expect(d.Mean).To(BeNumerically("~", 0.5/3, 1e-9))
 		// The differences are 0.1, 0.1 and 0.3: their deviation is 0.11547.
-		Expect(d.Half).To(BeNumerically("~", 1.96*0.1154700538/1.7320508076, 1e-6))
+		Expect(d.HalfInterval).To(BeNumerically("~", 1.96*0.1154700538/1.7320508076, 1e-6))
 		Expect(d.Base).To(BeNumerically("~", 0.6, 1e-9))
 	})
 
 	It("gives the same rows with any number of jobs, and nothing once it is stopped", func() {
 		s := small()
-		ways := []*Way{WayOf("standing"), WayOf("no-layout")}
+		ways := []*Variant{VariantByName("standing"), VariantByName("no-layout")}
 		one, err := Run(context.Background(), s, ways, 1, 3, 1)
 		Expect(err).NotTo(HaveOccurred())
 		four, err := Run(context.Background(), s, ways, 1, 3, 4)
@@ -144,11 +144,11 @@
 
 	It("has the code as it stands first, and each name once", func() {
 		names := map[string]bool{}
-		for _, w := range Ways() {
+		for _, w := range Variants() {
 			Expect(names).NotTo(HaveKey(w.Name))
 			names[w.Name] = true
 		}
-		Expect(Ways()[0].Name).To(Equal("standing"))
-		Expect(WayOf("none")).To(BeNil())
+		Expect(Variants()[0].Name).To(Equal("standing"))
+		Expect(VariantByName("none")).To(BeNil())
 	})
 })
--- a/internal/decide/report.go
+++ b/internal/decide/report.go
@@ -42,7 +42,7 @@
 	p := e.play
 	s := &p.scenario.Reports
 	e.number++
-	far := max(1, int(s.FarEveryMs/s.EveryMs+0.5))
+	far := max(1, int(s.RemoteIntervalMs/s.IntervalMs+0.5))
 	toAll := e.left > 0 || e.number%far == 0
 	if e.left > 0 {
 		e.left--
@@ -57,7 +57,7 @@
 	}
 	r.Waiting += len(e.queue)
 	for i := range p.byDomain {
-		e.tell(p.byDomain[i], r, toAll, ms(s.FarEveryMs))
+		e.tell(p.byDomain[i], r, toAll, ms(s.RemoteIntervalMs))
 	}
 }
 
@@ -74,7 +74,7 @@
 		if !near && !toAll && !each {
 			continue
 		}
-		if p.links.Float64() >= p.scenario.Reports.Lost {
+		if p.links.Float64() >= p.scenario.Reports.LossShare {
 			to = append(to, d)
 		}
 	}
--- a/internal/decide/request.go
+++ b/internal/decide/request.go
@@ -73,7 +73,7 @@
 		q.early = q.tries == 1 && p.at-q.at <= ms(q.kind.AimMs)/4
 	}
 	left := q.at + ms(q.kind.PatienceMs) - p.at
-	returns, pause := q.kind.Returns, time.Duration(0)
+	returns, pause := q.kind.CallerRetries, time.Duration(0)
 	if wasRefused {
 		pause = min(max(0, retry), time.Duration(heeded*float64(left)))
 	}
--- a/internal/decide/result.go
+++ b/internal/decide/result.go
@@ -12,32 +12,32 @@
 // Result is what came of a play. Worths are shares of what is owed, or sums of such.
 type Result struct {
 	Seed     uint64         `json:"seed"`
-	Way      string         `json:"way"`
+	Variant      string         `json:"way"`
 	Requests int            `json:"requests"`
 	Outcomes map[string]int `json:"outcomes"`
 	// Worth is the parts below as the scenario weighs them.
 	Worth float64 `json:"worth"`
-	// Whole is earned over owed; Window, Kind and Domain are those of the two worst windows, the worst kind, and the
+	// Overall is earned over owed; Window, Kind and Domain are those of the two worst windows, the worst kind, and the
 	// worst failure domain.
-	Whole  float64 `json:"whole"`
-	Window float64 `json:"window"`
-	Kind   float64 `json:"kind"`
-	Domain float64 `json:"domain"`
-	// Again is what those who were refused again cost, as a share of what is owed.
-	Again   float64 `json:"again"`
+	Overall  float64 `json:"whole"`
+	WorstWindows float64 `json:"window"`
+	WorstKind   float64 `json:"kind"`
+	WorstDomain float64 `json:"domain"`
+	// RepeatRefusalCost is what those who were refused again cost, as a share of what is owed.
+	RepeatRefusalCost   float64 `json:"again"`
 	InTime  float64 `json:"in_time"`
 	Late    float64 `json:"late"`
 	Refused float64 `json:"refused"`
-	// OnOver counts requests that began on a version whose time had passed.
-	OnOver int `json:"on_over"`
-	// FirstMs are quantiles of the first event from the first try on.
-	FirstMs map[string]float64 `json:"first_ms"`
+	// BegunOnExpired counts requests that began on a version whose time had passed.
+	BegunOnExpired int `json:"on_over"`
+	// FirstEventMs are quantiles of the first event from the first try on.
+	FirstEventMs map[string]float64 `json:"first_ms"`
 	// Prediction is the correlation of predicted with observed first events.
 	Prediction float64 `json:"prediction"`
-	// Busiest is the most that an upstream took up over the mean.
-	Busiest float64 `json:"busiest"`
-	// Seconds is the share of what is owed that is earned, by the second in which requests came.
-	Seconds []float64 `json:"seconds"`
+	// BusiestRatio is the most that an upstream took up over the mean.
+	BusiestRatio float64 `json:"busiest"`
+	// ShareBySecond is the share of what is owed that is earned, by the second in which requests came.
+	ShareBySecond []float64 `json:"seconds"`
 }
 
 // againCost is the share of its credit that a request costs that came back after a refusal and was refused again.
@@ -97,7 +97,7 @@
 		}
 		b.counts[q.outcome]++
 		b.whole.add(q, size)
-		at(b.windows, strconv.Itoa(int(q.at.Seconds()/s.Weigh.WindowS))).add(q, size)
+		at(b.windows, strconv.Itoa(int(q.at.Seconds()/s.Weights.WindowS))).add(q, size)
 		at(b.kinds, q.kind.Name).add(q, size)
 		at(b.domains, s.Domains[q.domain].Name).add(q, size)
 		if q.outcome == refusedAgain {
@@ -135,27 +135,27 @@
 
 func (p *play) result(seed uint64) *Result {
 	s, b := p.scenario, p.books()
-	r := &Result{Seed: seed, Way: p.way.Name, Outcomes: map[string]int{}, OnOver: p.over, FirstMs: map[string]float64{}}
+	r := &Result{Seed: seed, Variant: p.way.Name, Outcomes: map[string]int{}, BegunOnExpired: p.over, FirstEventMs: map[string]float64{}}
 	for o, n := range b.counts {
 		r.Requests += n
 		if n > 0 {
 			r.Outcomes[outcomeNames[o]] = n
 		}
 	}
-	r.Whole, r.Window, r.Kind, r.Domain = b.whole.share(), worst(b.windows, 2), worst(b.kinds, 1), worst(b.domains, 1)
-	w := &s.Weigh
-	r.Again = b.again / max(1e-9, b.whole.owed)
-	r.Worth = (1-w.Window-w.Kind-w.Domain)*r.Whole + w.Window*r.Window + w.Kind*r.Kind + w.Domain*r.Domain - r.Again
+	r.Overall, r.WorstWindows, r.WorstKind, r.WorstDomain = b.whole.share(), worst(b.windows, 2), worst(b.kinds, 1), worst(b.domains, 1)
+	w := &s.Weights
+	r.RepeatRefusalCost = b.again / max(1e-9, b.whole.owed)
+	r.Worth = (1-w.Window-w.Kind-w.Domain)*r.Overall + w.Window*r.WorstWindows + w.Kind*r.WorstKind + w.Domain*r.WorstDomain - r.RepeatRefusalCost
 	n := float64(max(1, r.Requests))
 	r.InTime, r.Late = float64(b.counts[inTime])/n, float64(b.counts[late])/n
 	r.Refused = float64(b.counts[refused]+b.counts[refusedAgain]) / n
 	for name, q := range map[string]float64{"p50": 50, "p95": 95, "p99": 99} {
-		r.FirstMs[name] = float64(b.firsts.ValueAtQuantile(q)) / 1000
+		r.FirstEventMs[name] = float64(b.firsts.ValueAtQuantile(q)) / 1000
 	}
 	for i := range b.seconds {
-		r.Seconds = append(r.Seconds, b.seconds[i].share())
+		r.ShareBySecond = append(r.ShareBySecond, b.seconds[i].share())
 	}
-	r.Prediction, r.Busiest = correlation(p.points), p.busiest()
+	r.Prediction, r.BusiestRatio = correlation(p.points), p.busiest()
 	return r
 }
 
--- a/internal/decide/scenario.go
+++ b/internal/decide/scenario.go
@@ -10,8 +10,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// ErrScenario says that a scenario can't be played.
-var ErrScenario = errors.New("the scenario can't be played")
+// ErrInvalidScenario says that a scenario can't be played.
+var ErrInvalidScenario = errors.New("the scenario can't be played")
 
 // Scenario is what is played: the figures that an operator knows from a deployment's sheet.
 type Scenario struct {
@@ -21,52 +21,52 @@
 	WarmUp  float64 `toml:"warm_up"`
 	// SwapWithin is the time in seconds within which a version must be in use.
 	SwapWithin float64     `toml:"swap_within"`
-	Engine     EngineSheet `toml:"engine"`
-	Reports    ReportSheet `toml:"reports"`
-	Links      LinkSheet   `toml:"links"`
-	Weigh      Weights     `toml:"weigh"`
+	Engine     EngineParams `toml:"engine"`
+	Reports    ReportParams `toml:"reports"`
+	Links      LinkParams   `toml:"links"`
+	Weights      Weights     `toml:"weigh"`
 	Domains    []Domain    `toml:"domain"`
 	Kinds      []Kind      `toml:"kind"`
 	// Load is what is asked, as a share of the domains' rates, from a second on.
-	Load     []Step    `toml:"load"`
+	Load     []LoadStep    `toml:"load"`
 	Versions []Version `toml:"version"`
 	Crashes  []Crash   `toml:"crash"`
-	// Abuse is the share of callers who come back at once and three times, whatever they were told.
-	Abuse float64 `toml:"abuse"`
+	// AbusiveShare is the share of callers who come back at once and three times, whatever they were told.
+	AbusiveShare float64 `toml:"abuse"`
 }
 
-// EngineSheet is what the engines are like.
-type EngineSheet struct {
+// EngineParams is what the engines are like.
+type EngineParams struct {
 	Slots         int     `toml:"slots"`
 	Queue         int     `toml:"queue"`
 	StepMs        float64 `toml:"step_ms"`
 	PerSeqMs      float64 `toml:"per_seq_ms"`
 	ContextPerKMs float64 `toml:"context_per_k_ms"`
 	ReadPerS      float64 `toml:"read_per_s"`
-	PairsPerMMs   float64 `toml:"pairs_per_m_ms"`
+	MsPerMPairs   float64 `toml:"pairs_per_m_ms"`
 	Chunk         int     `toml:"chunk"`
 	Stride        int     `toml:"stride"`
-	// FirstMs is what each request costs beyond its tokens.
-	FirstMs float64 `toml:"first_ms"`
-	// WarmMs is how long a version takes to load, and StallMs how long what depends on a crashed engine stands still.
-	WarmMs  float64 `toml:"warm_ms"`
+	// PerRequestMs is what each request costs beyond its tokens.
+	PerRequestMs float64 `toml:"first_ms"`
+	// LoadMs is how long a version takes to load, and StallMs how long what depends on a crashed engine stands still.
+	LoadMs  float64 `toml:"warm_ms"`
 	StallMs float64 `toml:"stall_ms"`
 }
 
-// ReportSheet is how upstreams' figures reach gateways.
-type ReportSheet struct {
-	EveryMs    float64 `toml:"every_ms"`
-	FarEveryMs float64 `toml:"far_every_ms"`
-	// Lost is the share of the reports that do not arrive, and NewsMs the time until gateways have read of a version.
-	Lost   float64 `toml:"lost"`
-	NewsMs float64 `toml:"news_ms"`
+// ReportParams is how upstreams' figures reach gateways.
+type ReportParams struct {
+	IntervalMs    float64 `toml:"every_ms"`
+	RemoteIntervalMs float64 `toml:"far_every_ms"`
+	// LossShare is the share of the reports that do not arrive, and NewsMs the time until gateways have read of a version.
+	LossShare   float64 `toml:"lost"`
+	VersionDelayMs float64 `toml:"news_ms"`
 }
 
-// LinkSheet is the time of one way.
-type LinkSheet struct {
+// LinkParams is the time of one way.
+type LinkParams struct {
 	CallerMs float64 `toml:"caller_ms"`
-	NearMs   float64 `toml:"near_ms"`
-	FarMs    float64 `toml:"far_ms"`
+	LocalMs   float64 `toml:"near_ms"`
+	RemoteMs    float64 `toml:"far_ms"`
 }
 
 // Weights weigh the parts of the worth; what is left of 1 is the whole play's.
@@ -83,7 +83,7 @@
 	Name      string  `toml:"name"`
 	Gateways  int     `toml:"gateways"`
 	Upstreams int     `toml:"upstreams"`
-	PerS      float64 `toml:"per_s"`
+	RequestsPerSecond      float64 `toml:"per_s"`
 	Clients   int     `toml:"clients"`
 }
 
@@ -99,36 +99,36 @@
 	Prompt     Size    `toml:"prompt"`
 	// Events is the length of an answer, each event holding the engine's stride of tokens.
 	Events   Size `toml:"events"`
-	Attempts int  `toml:"attempts"`
-	Returns  int  `toml:"returns"`
+	MaxAttempts int  `toml:"attempts"`
+	CallerRetries  int  `toml:"returns"`
 }
 
 // Size is a mean with the deviation as a share of it, and a bound.
 type Size struct {
 	Mean   float64 `toml:"mean"`
-	Spread float64 `toml:"spread"`
-	Most   float64 `toml:"most"`
+	RelativeDeviation float64 `toml:"spread"`
+	Max   float64 `toml:"most"`
 }
 
-// Step is the load from a second on.
-type Step struct {
+// LoadStep is the load from a second on.
+type LoadStep struct {
 	At float64 `toml:"at"`
-	X  float64 `toml:"x"`
+	Factor  float64 `toml:"x"`
 }
 
 // Version is weights that are named at a second and lie beside the upstreams, one after the other, from one to another
 // number of seconds later.
 type Version struct {
-	Named float64 `toml:"named"`
-	First float64 `toml:"first_staged"`
-	Last  float64 `toml:"last_staged"`
+	PublishedAt float64 `toml:"named"`
+	FirstStagedAfter float64 `toml:"first_staged"`
+	LastStagedAfter  float64 `toml:"last_staged"`
 }
 
 // Crash ends a share of the engines for a time.
 type Crash struct {
 	At    float64 `toml:"at"`
 	Share float64 `toml:"share"`
-	For   float64 `toml:"for"`
+	Duration   float64 `toml:"for"`
 }
 
 // Load reads a scenario from a file; a name that no setting has is refused.
@@ -148,7 +148,7 @@
 
 // check says what is missing.
 func (s *Scenario) check() error {
-	e, w := &s.Engine, &s.Weigh
+	e, w := &s.Engine, &s.Weights
 	for _, c := range []struct {
 		ok   bool
 		text string
@@ -156,24 +156,24 @@
 		{s.Seconds > s.WarmUp && s.WarmUp >= 0, "seconds must be above warm_up"},
 		{e.Slots > 0 && e.Queue >= 0, "engine.slots must be above 0"},
 		{e.StepMs > 0 && e.ReadPerS > 0 && e.Chunk > 0 && e.Stride > 0, "engine.step_ms, read_per_s, chunk and stride must be above 0"},
-		{s.Reports.EveryMs >= 1 && s.Reports.FarEveryMs >= s.Reports.EveryMs, "reports.far_every_ms must be at least every_ms, from 1"},
-		{s.Reports.Lost >= 0 && s.Reports.Lost < 1, "reports.lost must be a share below 1"},
+		{s.Reports.IntervalMs >= 1 && s.Reports.RemoteIntervalMs >= s.Reports.IntervalMs, "reports.far_every_ms must be at least every_ms, from 1"},
+		{s.Reports.LossShare >= 0 && s.Reports.LossShare < 1, "reports.lost must be a share below 1"},
 		{w.WindowS > 0 && w.Window >= 0 && w.Kind >= 0 && w.Domain >= 0 && w.Window+w.Kind+w.Domain <= 1, "weigh must be shares, with window_s above 0"},
 		{len(s.Domains) > 0 && len(s.Kinds) > 0, "there must be domains and kinds"},
 		{len(s.Versions) == 0 || s.SwapWithin > 0, "swap_within must be above 0 where versions are named"},
 	} {
 		if !c.ok {
-			return trace.Wrap(ErrScenario, "%s", c.text)
+			return trace.Wrap(ErrInvalidScenario, "%s", c.text)
 		}
 	}
 	for _, d := range s.Domains {
-		if d.Name == "" || d.Gateways < 1 || d.Upstreams < 0 || d.PerS < 0 || d.Clients < 1 {
-			return trace.Wrap(ErrScenario, "domain %q needs a name, gateways and clients", d.Name)
+		if d.Name == "" || d.Gateways < 1 || d.Upstreams < 0 || d.RequestsPerSecond < 0 || d.Clients < 1 {
+			return trace.Wrap(ErrInvalidScenario, "domain %q needs a name, gateways and clients", d.Name)
 		}
 	}
 	for _, k := range s.Kinds {
-		if k.Name == "" || k.Share <= 0 || k.AimMs <= 0 || k.PatienceMs < k.AimMs || k.Worth <= 0 || k.Prompt.Mean <= 0 || k.Events.Mean <= 0 || k.Attempts < 1 {
-			return trace.Wrap(ErrScenario, "kind %q needs a name, a share, an aim within the patience, a worth, sizes and attempts", k.Name)
+		if k.Name == "" || k.Share <= 0 || k.AimMs <= 0 || k.PatienceMs < k.AimMs || k.Worth <= 0 || k.Prompt.Mean <= 0 || k.Events.Mean <= 0 || k.MaxAttempts < 1 {
+			return trace.Wrap(ErrInvalidScenario, "kind %q needs a name, a share, an aim within the patience, a worth, sizes and attempts", k.Name)
 		}
 	}
 	return nil
@@ -203,7 +203,7 @@
 	x := 1.0
 	for _, l := range s.Load {
 		if at >= l.At {
-			x = l.X
+			x = l.Factor
 		}
 	}
 	return x
@@ -213,7 +213,7 @@
 func (s *Scenario) highest() float64 {
 	x := s.load(0)
 	for _, l := range s.Load {
-		x = max(x, l.X)
+		x = max(x, l.Factor)
 	}
 	return x
 }
--- a/internal/decide/version.go
+++ b/internal/decide/version.go
@@ -37,9 +37,9 @@
 
 // bringOut names a version, and has it come to the engines one after the other.
 func (p *play) bringOut(r id.Revision, v *Version, random *rand.Rand) {
-	at := seconds(v.Named)
+	at := seconds(v.PublishedAt)
 	named := p.start.Add(at)
-	p.on(at+ms(p.scenario.Reports.NewsMs), func() {
+	p.on(at+ms(p.scenario.Reports.VersionDelayMs), func() {
 		n := facts.Naming{Revision: r, Date: dating.Bracket{After: named}, Missed: named}
 		p.news.SetWanted(model, n)
 		for _, d := range p.doors {
@@ -50,7 +50,7 @@
 	for i, n := range order {
 		e := p.engines[n]
 		share := float64(i+1) / float64(len(order))
-		c := coming{revision: r, named: named, begins: at, staged: at + seconds(v.First+share*(v.Last-v.First))}
+		c := coming{revision: r, named: named, begins: at, staged: at + seconds(v.FirstStagedAfter+share*(v.LastStagedAfter-v.FirstStagedAfter))}
 		e.coming = append(e.coming, c)
 		p.on(c.staged, func() { e.stage(c) })
 	}
@@ -120,7 +120,7 @@
 func (e *engine) use(v *swapplan.View) swapplan.Use {
 	p := e.play
 	for _, c := range e.coming {
-		if c.revision <= e.staged || p.at < c.begins+ms(p.scenario.Reports.NewsMs) {
+		if c.revision <= e.staged || p.at < c.begins+ms(p.scenario.Reports.VersionDelayMs) {
 			continue
 		}
 		const all = 1000
@@ -198,7 +198,7 @@
 }
 
 // drainMost is how long an engine is given to finish what runs.
-func (w *Way) drainMost() time.Duration {
+func (w *Variant) drainMost() time.Duration {
 	if w.drain > 0 {
 		return time.Duration(w.drain * float64(swapplan.DrainMost))
 	}
@@ -212,7 +212,7 @@
 	}
 	r := e.order
 	e.order = 0
-	e.step = e.play.after(ms(e.play.scenario.Engine.WarmMs), func() { e.loaded(r) })
+	e.step = e.play.after(ms(e.play.scenario.Engine.LoadMs), func() { e.loaded(r) })
 }
 
 // loaded serves the version.
@@ -244,6 +244,6 @@
 	for _, n := range random.Perm(len(p.engines))[:int(c.Share*float64(len(p.engines))+0.5)] {
 		e := p.engines[n]
 		p.on(seconds(c.At), e.crashed)
-		p.on(seconds(c.At+c.For), e.back)
+		p.on(seconds(c.At+c.Duration), e.back)
 	}
 }
--- a/internal/decide/way.go
+++ b/internal/decide/way.go
@@ -8,8 +8,8 @@
 	"github.com/springrail/springrail/internal/placement"
 )
 
-// Way is a way to decide: the code as it stands, with something of it changed.
-type Way struct {
+// Variant is a way to decide: the code as it stands, with something of it changed.
+type Variant struct {
 	Name, Text string
 	// bend changes what a choice rests on.
 	bend func(d *door, w *placement.Forecast, l []placement.Candidate)
@@ -27,9 +27,9 @@
 	leaveSilent bool
 }
 
-// Ways are all that can be compared; the first is the code as it stands.
-func Ways() []*Way {
-	return []*Way{
+// Variants are all that can be compared; the first is the code as it stands.
+func Variants() []*Variant {
+	return []*Variant{
 		{Name: "standing", Text: "the code as it stands"},
 		{Name: "no-layout", Text: "each takes the upstream that looks best", bend: noLayout},
 		{Name: "no-admission", Text: "nobody is refused while an upstream is there", bend: noAdmission},
@@ -54,9 +54,9 @@
 	}
 }
 
-// WayOf finds a way by its name, or returns nil.
-func WayOf(name string) *Way {
-	for _, w := range Ways() {
+// VariantByName finds a way by its name, or returns nil.
+func VariantByName(name string) *Variant {
+	for _, w := range Variants() {
 		if w.Name == name {
 			return w
 		}
--- a/internal/measure/decide.go
+++ b/internal/measure/decide.go
@@ -42,7 +42,7 @@
 func decideCommand(c *kingpin.CmdClause) func(ctx context.Context, w io.Writer) error {
 	f := &decideFlags{}
 	var names []string
-	for _, w := range decide.Ways() {
+	for _, w := range decide.Variants() {
 		names = append(names, w.Name)
 	}
 	c.Flag("scenario", "File of a scenario; may be given again.").Required().StringsVar(&f.scenarios)
@@ -57,17 +57,17 @@
 }
 
 // list is the ways to play, the one that the others are held against first.
-func (f *decideFlags) list() []*decide.Way {
+func (f *decideFlags) list() []*decide.Variant {
 	names := f.ways
 	if len(names) == 0 {
-		for _, w := range decide.Ways() {
+		for _, w := range decide.Variants() {
 			names = append(names, w.Name)
 		}
 	}
-	l := []*decide.Way{decide.WayOf(f.against)}
+	l := []*decide.Variant{decide.VariantByName(f.against)}
 	for _, n := range names {
 		if n != f.against {
-			l = append(l, decide.WayOf(n))
+			l = append(l, decide.VariantByName(n))
 		}
 	}
 	return l
@@ -86,7 +86,7 @@
 		}
 		r := &decideRun{Scenario: s.Name, Results: rows}
 		for _, l := range rows {
-			r.Differences = append(r.Differences, decide.Pair(rows[0], l))
+			r.Differences = append(r.Differences, decide.ComparePaired(rows[0], l))
 		}
 		all.Runs = append(all.Runs, r)
 		if !f.json {
@@ -112,8 +112,8 @@
 	fmt.Fprintln(t, "way\tworth\tdifference\t95% within\twhole\twindows\tkind\tdomain\tin time\tlate\trefused\tp50 ms\tp95 ms\tpredicted\tbusiest\ton over\t")
 	for i, d := range r.Differences {
 		m := decideMean(r.Results[i])
-		fmt.Fprintf(t, "%s\t%.3f\t%+.4f\t%.4f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t%.2f\t%.2f\t%d\t\n", d.Way, d.Worth, d.Mean, d.Half,
-			m.Whole, m.Window, m.Kind, m.Domain, m.InTime, m.Late, m.Refused, m.FirstMs["p50"], m.FirstMs["p95"], m.Prediction, m.Busiest, m.OnOver)
+		fmt.Fprintf(t, "%s\t%.3f\t%+.4f\t%.4f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t%.2f\t%.2f\t%d\t\n", d.Variant, d.Worth, d.Mean, d.HalfInterval,
+			m.Overall, m.WorstWindows, m.WorstKind, m.WorstDomain, m.InTime, m.Late, m.Refused, m.FirstEventMs["p50"], m.FirstEventMs["p95"], m.Prediction, m.BusiestRatio, m.BegunOnExpired)
 	}
 	_ = t.Flush()
 	fmt.Fprintln(out)
@@ -121,23 +121,23 @@
 
 // decideMean is the mean of a way's results; what counts events is their sum.
 func decideMean(l []*decide.Result) *decide.Result {
-	m := &decide.Result{FirstMs: map[string]float64{}}
+	m := &decide.Result{FirstEventMs: map[string]float64{}}
 	n := float64(len(l))
 	for _, r := range l {
 		for _, x := range []struct {
 			sum *float64
 			add float64
 		}{
-			{&m.Whole, r.Whole}, {&m.Window, r.Window}, {&m.Kind, r.Kind}, {&m.Domain, r.Domain}, {&m.InTime, r.InTime}, {&m.Late, r.Late},
-			{&m.Refused, r.Refused}, {&m.Prediction, r.Prediction}, {&m.Busiest, r.Busiest},
+			{&m.Overall, r.Overall}, {&m.WorstWindows, r.WorstWindows}, {&m.WorstKind, r.WorstKind}, {&m.WorstDomain, r.WorstDomain}, {&m.InTime, r.InTime}, {&m.Late, r.Late},
+			{&m.Refused, r.Refused}, {&m.Prediction, r.Prediction}, {&m.BusiestRatio, r.BusiestRatio},
 		} {
 			*x.sum += x.add / n
 		}
-		for k, v := range r.FirstMs {
-			m.FirstMs[k] += v / n
+		for k, v := range r.FirstEventMs {
+			m.FirstEventMs[k] += v / n
 		}
-		m.OnOver += r.OnOver
-		m.Seconds = decideAdd(m.Seconds, r.Seconds, n)
+		m.BegunOnExpired += r.BegunOnExpired
+		m.ShareBySecond = decideAdd(m.ShareBySecond, r.ShareBySecond, n)
 	}
 	return m
 }
--- a/internal/measure/decideplot.go
+++ b/internal/measure/decideplot.go
@@ -20,7 +20,7 @@
 	g.Y.Min, g.Y.Max = 0, 1
 	for n, i := range r.decideWorst() {
 		var l plotter.XYs
-		for at, y := range decideMean(r.Results[i]).Seconds {
+		for at, y := range decideMean(r.Results[i]).ShareBySecond {
 			l = append(l, plotter.XY{X: float64(at), Y: y})
 		}
 		c, err := plotter.NewLine(l)
@@ -29,7 +29,7 @@
 		}
 		c.Color, c.Dashes = plotutil.Color(n), plotutil.Dashes(n)
 		g.Add(c)
-		g.Legend.Add(r.Differences[i].Way, c)
+		g.Legend.Add(r.Differences[i].Variant, c)
 	}
 	return trace.Wrap(g.Save(newsPlotWidth, newsPlotHeight, file))
 }
