--- a/internal/decide/compare.go
+++ b/internal/decide/compare.go
@@ -10,10 +10,10 @@
 
 // Difference is one way against another on the same seeds.
 type Difference struct {
-	Variant   string `json:"way"`
-	Seeds int    `json:"seeds"`
+	Variant string `json:"way"`
+	Seeds   int    `json:"seeds"`
 	// Mean is that of the differences of worth seed by seed, and Half half its interval, within which the true mean lies with 95%.
-	Mean float64 `json:"mean"`
+	Mean         float64 `json:"mean"`
 	HalfInterval float64 `json:"half"`
 	// Worth and Base are the mean worths.
 	Worth float64 `json:"worth"`
--- a/internal/decide/play_test.go
+++ b/internal/decide/play_test.go
@@ -19,7 +19,7 @@
 		Engine:  EngineParams{Slots: 4, Queue: 8, StepMs: 7, PerSeqMs: 0.02, ReadPerS: 30000, Chunk: 2048, Stride: 6, LoadMs: 300, StallMs: 1500},
 		Reports: ReportParams{IntervalMs: 200, RemoteIntervalMs: 1000, LossShare: 0.01, VersionDelayMs: 200},
 		Links:   LinkParams{CallerMs: 3, LocalMs: 0.2, RemoteMs: 2.8},
-		Weights:   Weights{Window: 0.1, Kind: 0.2, Domain: 0.3, WindowS: 2},
+		Weights: Weights{Window: 0.1, Kind: 0.2, Domain: 0.3, WindowS: 2},
 		Domains: []Domain{{Name: "a", Gateways: 2, Upstreams: 3, RequestsPerSecond: 15, Clients: 5}, {Name: "b", Gateways: 1, Upstreams: 2, RequestsPerSecond: 10, Clients: 3}},
 		Kinds: []Kind{{
 			Name: "k", Share: 1, AimMs: 400, PatienceMs: 6000, GapAimMs: 300, Worth: 2, LateWorth: 0.5, MaxAttempts: 2, CallerRetries: 1,
--- a/internal/decide/result.go
+++ b/internal/decide/result.go
@@ -12,22 +12,22 @@
 // Result is what came of a play. Worths are shares of what is owed, or sums of such.
 type Result struct {
 	Seed     uint64         `json:"seed"`
-	Variant      string         `json:"way"`
+	Variant  string         `json:"way"`
 	Requests int            `json:"requests"`
 	Outcomes map[string]int `json:"outcomes"`
 	// Worth is the parts below as the scenario weighs them.
 	Worth float64 `json:"worth"`
 	// Overall is earned over owed; Window, Kind and Domain are those of the two worst windows, the worst kind, and the
 	// worst failure domain.
-	Overall  float64 `json:"whole"`
+	Overall      float64 `json:"whole"`
 	WorstWindows float64 `json:"window"`
-	WorstKind   float64 `json:"kind"`
-	WorstDomain float64 `json:"domain"`
+	WorstKind    float64 `json:"kind"`
+	WorstDomain  float64 `json:"domain"`
 	// RepeatRefusalCost is what those who were refused again cost, as a share of what is owed.
-	RepeatRefusalCost   float64 `json:"again"`
-	InTime  float64 `json:"in_time"`
-	Late    float64 `json:"late"`
-	Refused float64 `json:"refused"`
+	RepeatRefusalCost float64 `json:"again"`
+	InTime            float64 `json:"in_time"`
+	Late              float64 `json:"late"`
+	Refused           float64 `json:"refused"`
 	// BegunOnExpired counts requests that began on a version whose time had passed.
 	BegunOnExpired int `json:"on_over"`
 	// FirstEventMs are quantiles of the first event from the first try on.
--- a/internal/decide/scenario.go
+++ b/internal/decide/scenario.go
@@ -20,17 +20,17 @@
 	Seconds float64 `toml:"seconds"`
 	WarmUp  float64 `toml:"warm_up"`
 	// SwapWithin is the time in seconds within which a version must be in use.
-	SwapWithin float64     `toml:"swap_within"`
+	SwapWithin float64      `toml:"swap_within"`
 	Engine     EngineParams `toml:"engine"`
 	Reports    ReportParams `toml:"reports"`
 	Links      LinkParams   `toml:"links"`
-	Weights      Weights     `toml:"weigh"`
-	Domains    []Domain    `toml:"domain"`
-	Kinds      []Kind      `toml:"kind"`
+	Weights    Weights      `toml:"weigh"`
+	Domains    []Domain     `toml:"domain"`
+	Kinds      []Kind       `toml:"kind"`
 	// Load is what is asked, as a share of the domains' rates, from a second on.
-	Load     []LoadStep    `toml:"load"`
-	Versions []Version `toml:"version"`
-	Crashes  []Crash   `toml:"crash"`
+	Load     []LoadStep `toml:"load"`
+	Versions []Version  `toml:"version"`
+	Crashes  []Crash    `toml:"crash"`
 	// AbusiveShare is the share of callers who come back at once and three times, whatever they were told.
 	AbusiveShare float64 `toml:"abuse"`
 }
@@ -55,18 +55,18 @@
 
 // ReportParams is how upstreams' figures reach gateways.
 type ReportParams struct {
-	IntervalMs    float64 `toml:"every_ms"`
+	IntervalMs       float64 `toml:"every_ms"`
 	RemoteIntervalMs float64 `toml:"far_every_ms"`
 	// LossShare is the share of the reports that do not arrive, and NewsMs the time until gateways have read of a version.
-	LossShare   float64 `toml:"lost"`
+	LossShare      float64 `toml:"lost"`
 	VersionDelayMs float64 `toml:"news_ms"`
 }
 
 // LinkParams is the time of one way.
 type LinkParams struct {
 	CallerMs float64 `toml:"caller_ms"`
-	LocalMs   float64 `toml:"near_ms"`
-	RemoteMs    float64 `toml:"far_ms"`
+	LocalMs  float64 `toml:"near_ms"`
+	RemoteMs float64 `toml:"far_ms"`
 }
 
 // Weights weigh the parts of the worth; what is left of 1 is the whole play's.
@@ -80,11 +80,11 @@
 
 // Domain is a failure domain with its callers.
 type Domain struct {
-	Name      string  `toml:"name"`
-	Gateways  int     `toml:"gateways"`
-	Upstreams int     `toml:"upstreams"`
-	RequestsPerSecond      float64 `toml:"per_s"`
-	Clients   int     `toml:"clients"`
+	Name              string  `toml:"name"`
+	Gateways          int     `toml:"gateways"`
+	Upstreams         int     `toml:"upstreams"`
+	RequestsPerSecond float64 `toml:"per_s"`
+	Clients           int     `toml:"clients"`
 }
 
 // Kind is a kind of request.
@@ -98,37 +98,37 @@
 	LateWorth  float64 `toml:"late_worth"`
 	Prompt     Size    `toml:"prompt"`
 	// Events is the length of an answer, each event holding the engine's stride of tokens.
-	Events   Size `toml:"events"`
-	MaxAttempts int  `toml:"attempts"`
-	CallerRetries  int  `toml:"returns"`
+	Events        Size `toml:"events"`
+	MaxAttempts   int  `toml:"attempts"`
+	CallerRetries int  `toml:"returns"`
 }
 
 // Size is a mean with the deviation as a share of it, and a bound.
 type Size struct {
-	Mean   float64 `toml:"mean"`
+	Mean              float64 `toml:"mean"`
 	RelativeDeviation float64 `toml:"spread"`
-	Max   float64 `toml:"most"`
+	Max               float64 `toml:"most"`
 }
 
 // LoadStep is the load from a second on.
 type LoadStep struct {
-	At float64 `toml:"at"`
-	Factor  float64 `toml:"x"`
+	At     float64 `toml:"at"`
+	Factor float64 `toml:"x"`
 }
 
 // Version is weights that are named at a second and lie beside the upstreams, one after the other, from one to another
 // number of seconds later.
 type Version struct {
-	PublishedAt float64 `toml:"named"`
+	PublishedAt      float64 `toml:"named"`
 	FirstStagedAfter float64 `toml:"first_staged"`
 	LastStagedAfter  float64 `toml:"last_staged"`
 }
 
 // Crash ends a share of the engines for a time.
 type Crash struct {
-	At    float64 `toml:"at"`
-	Share float64 `toml:"share"`
-	Duration   float64 `toml:"for"`
+	At       float64 `toml:"at"`
+	Share    float64 `toml:"share"`
+	Duration float64 `toml:"for"`
 }
 
 // Load reads a scenario from a file; a name that no setting has is refused.
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -74,7 +74,7 @@
 // Refusal is ErrOverLimit with the time after which the caller may come back.
 type Refusal struct {
 	RetryAfter time.Duration
-	text  string
+	text       string
 }
 
 // Error implements error.
--- a/internal/placement/outlook.go
+++ b/internal/placement/outlook.go
@@ -24,8 +24,8 @@
 	// Advance changes an upstream to what is left of its work after a time without arrivals; nil changes nothing.
 	Advance func(c *Candidate, d time.Duration)
 	// Horizon is the time between two reports, and Prompt the tokens of a usual request.
-	Horizon time.Duration
-	UsualPrompt  float64
+	Horizon     time.Duration
+	UsualPrompt float64
 	// Demand is what callers bring to all gateways meanwhile, and Domain the own failure domain.
 	Demand Demand
 	Domain id.Domain
--- a/internal/placement/outlook_test.go
+++ b/internal/placement/outlook_test.go
@@ -30,8 +30,8 @@
 	m := NewLatencyModel(engine())
 	return &Forecast{
 		PredictFirstEvent: func(c *Candidate) time.Duration { return m.FirstEvent(c, m.engine.UsualPrompt) },
-		CanAdmit:  func(c *Candidate) bool { return InTime(m.AdmissionLatency(c), 0, 300*time.Millisecond) },
-		Advance: m.Advance, Horizon: 200 * time.Millisecond, UsualPrompt: m.engine.UsualPrompt, Demand: d, Domain: "d",
+		CanAdmit:          func(c *Candidate) bool { return InTime(m.AdmissionLatency(c), 0, 300*time.Millisecond) },
+		Advance:           m.Advance, Horizon: 200 * time.Millisecond, UsualPrompt: m.engine.UsualPrompt, Demand: d, Domain: "d",
 	}
 }
 
@@ -198,8 +198,8 @@
 				})
 			}
 			w := &Forecast{
-				PredictFirstEvent:  func(c *Candidate) time.Duration { return time.Duration(1+c.load()) * 10 * time.Millisecond },
-				UsualPrompt: 100, Domain: "0",
+				PredictFirstEvent: func(c *Candidate) time.Duration { return time.Duration(1+c.load()) * 10 * time.Millisecond },
+				UsualPrompt:       100, Domain: "0",
 			}
 			y := layouts.Get().(*layout)
 			defer layouts.Put(y)
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -15,8 +15,8 @@
 type Candidate struct {
 	Instance id.Instance
 	// Incarnation is the newest start that is known of the upstream.
-	Incarnation    id.Birth
-	Address string
+	Incarnation id.Birth
+	Address     string
 	// Revision is the version of the model that it serves; 0 for plain services.
 	Revision id.Revision
 	Domain   id.Domain
--- a/internal/placement/rest.go
+++ b/internal/placement/rest.go
@@ -48,9 +48,9 @@
 
 // RestingUpstream is an instance that wants no request of this process for now.
 type RestingUpstream struct {
-	Address  string
-	Instance id.Instance
-	Remaining     time.Duration
+	Address   string
+	Instance  id.Instance
+	Remaining time.Duration
 }
 
 // RestingUpstreams lists the upstreams that rest, by address.
--- a/internal/placement/tracker.go
+++ b/internal/placement/tracker.go
@@ -26,9 +26,9 @@
 // LoadReport is what an upstream's stager says of it.
 type LoadReport struct {
 	// Incarnation is the start of the upstream that the figures are of; 0 where that is not known.
-	Incarnation             id.Birth
+	Incarnation      id.Birth
 	Running, Waiting int
-	Slowdown             float64
+	Slowdown         float64
 	Held             []facts.Held
 	Closed           bool
 	Down             bool
--- a/internal/throttle/known.go
+++ b/internal/throttle/known.go
@@ -33,14 +33,14 @@
 
 // Limit is the state of a limit at a moment.
 type Limit struct {
-	Rate  Rate
+	Rate       Rate
 	KnownSince time.Time
 	// Permits are thought to be there, and Due is how long it takes until one is.
-	Permits int
-	NextPermitIn     time.Duration
+	Permits      int
+	NextPermitIn time.Duration
 	// Sent is how many requests this gateway has sent since it first heard of the limit, and Alone says that it has a
 	// part of its own.
-	Sent  uint64
+	Sent     uint64
 	OwnShare bool
 }
 
--- a/internal/throttle/word.go
+++ b/internal/throttle/word.go
@@ -24,7 +24,7 @@
 // LimitInfo is what one answer says, with the Rate of a Limited one.
 type LimitInfo struct {
 	State LimitState
-	Rate Rate
+	Rate  Rate
 }
 
 // ParseLimit reads the text in which an upstream names its limit; an empty one is that of an upstream that names none. What
