--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -49,7 +49,7 @@
 
 // at is the start of the upstream that the request was sent to.
 func (t *attempt) at() quarantine.Incarnation {
-	return quarantine.Incarnation{Address: t.choice.Address, Instance: t.choice.Instance, Born: t.choice.Born}
+	return quarantine.Incarnation{Address: t.choice.Address, Instance: t.choice.Instance, Born: t.choice.Incarnation}
 }
 
 // left notes that the request was given up at its upstream, which may begin it all the same.
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -33,14 +33,14 @@
 // and no link is proven.
 func (f *flight) acquire(ctx context.Context, c *placement.Choice) bool {
 	f.asked = 0
-	if c.Limit == nil && !c.Prove {
+	if c.Limit == nil && !c.NeedsProbe {
 		return true
 	}
 	if c.Limit != nil {
 		f.limit = *c.Limit
 	}
-	if !c.Known {
-		return !c.Prove && f.takePart(c)
+	if !c.Fresh {
+		return !c.NeedsProbe && f.takePart(c)
 	}
 	return f.askPermit(ctx, c)
 }
@@ -48,7 +48,7 @@
 // takePart takes a permit of this gateway's own part of a limit.
 func (f *flight) takePart(c *placement.Choice) bool {
 	g := f.gateway
-	if !g.load.Tracker.TakePart(c.Address) {
+	if !g.load.Tracker.TakeSharePermit(c.Address) {
 		return false
 	}
 	g.tally.add("permits_of_own_part")
@@ -61,7 +61,7 @@
 	ctx, stop := context.WithTimeout(ctx, permitTimeout)
 	defer stop()
 	began := g.now()
-	permit, answered := g.load.Permits.Acquire(ctx, c.Address, c.Born)
+	permit, answered := g.load.Permits.Acquire(ctx, c.Address, c.Incarnation)
 	f.asked = g.now().Sub(began)
 	switch {
 	case !answered:
@@ -79,29 +79,29 @@
 }
 
 // noteLimit takes what an answer says of its upstream's limit, and tells the process beside the upstream where that may not know.
-func (t *attempt) noteLimit(w throttle.Word) {
+func (t *attempt) noteLimit(w throttle.LimitInfo) {
 	f := t.flight
 	f.named = w
-	if !t.mark.Answered(w) {
+	if !t.mark.RecordLimitAnswer(w) {
 		return
 	}
 	k := f.gateway.load.Permits
 	switch {
-	case w.Said == throttle.Limited:
-		k.ReportLimit(t.choice.Address, t.choice.Born, w.Rate)
-	case w.Said == throttle.Unlimited && t.permit > 0:
-		k.ReportLimitEnd(t.choice.Address, t.choice.Born, t.permit)
+	case w.State == throttle.Limited:
+		k.ReportLimit(t.choice.Address, t.choice.Incarnation, w.Rate)
+	case w.State == throttle.Unlimited && t.permit > 0:
+		k.ReportLimitEnd(t.choice.Address, t.choice.Incarnation, t.permit)
 	}
 }
 
 // logLimit adds to a request's line what it had to do with a limit.
 func (f *flight) logLimit(e *log.Entry) *log.Entry {
-	if f.named.Said == throttle.Limited {
+	if f.named.State == throttle.Limited {
 		e = e.Float64("limit_named", float64(f.named.Rate))
 	}
-	if f.limit.Since.IsZero() {
+	if f.limit.KnownSince.IsZero() {
 		return e
 	}
-	return e.Float64("limit", float64(f.limit.Rate)).Int64("limit_age_ms", f.gateway.now().Sub(f.limit.Since).Milliseconds()).
+	return e.Float64("limit", float64(f.limit.Rate)).Int64("limit_age_ms", f.gateway.now().Sub(f.limit.KnownSince).Milliseconds()).
 		Int("permits_left", f.limit.Permits).Uint64("permit", f.permit)
 }
