--- a/internal/gateway/crash_test.go
+++ b/internal/gateway/crash_test.go
@@ -70,8 +70,8 @@
 func (b *testbed) suspect(f quarantine.Fingerprint, ends int) {
 	for n := range ends {
 		b.list.RecordCrash(quarantine.Crash{
-			Incarnation:    quarantine.Incarnation{Instance: id.Instance(strconv.Itoa(n)), Address: "a"},
-			Requests: []quarantine.InFlightRequest{{Fingerprint: f}},
+			Incarnation: quarantine.Incarnation{Instance: id.Instance(strconv.Itoa(n)), Address: "a"},
+			Requests:    []quarantine.InFlightRequest{{Fingerprint: f}},
 		})
 	}
 }
