--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -10,192 +10,193 @@
 )
 
 const (
-	// heldAnswer is the longest answer that is held whole before its head goes out, in bytes, so that one that breaks
-	// off can be asked for again or reported as failed. The users' answers are below 5 KB.
-	heldAnswer = 64 << 10
-	// readSize is the most that is read from a stream at once, in bytes; an event is about a hundred.
-	readSize = 4 << 10
+	// maxBufferedAnswer is the longest response, in bytes, that is buffered whole before its header is sent, so that a
+	// response that breaks off can be retried or reported as failed. Usual responses are below 5 KB.
+	maxBufferedAnswer = 64 << 10
+	// streamReadSize is the size of a read from a stream, in bytes; an event has about a hundred.
+	streamReadSize = 4 << 10
 )
 
-// take passes an answer on, or says why it is none.
-func (t *attempt) take() *attemptError {
-	f, e := t.flight, t.exchange
+// forwardAnswer forwards the upstream's response to the caller, or returns why it cannot be used.
+func (t *attempt) forwardAnswer() *attemptError {
+	f, e := t.request, t.exchange
 	d := f.gateway.dialect
 	v := d.ReadResponse(e.StatusCode, e.Header)
-	t.noteUpstream(v)
+	t.noteResponse(v)
 	if v.NotRun {
-		_, err := io.Copy(io.Discard, io.LimitReader(e.Body, heldAnswer))
-		t.whole = err == nil
-		retry := refusedRetry
+		_, err := io.Copy(io.Discard, io.LimitReader(e.Body, maxBufferedAnswer))
+		t.answerComplete = err == nil
+		retry := refusedRetryAfter
 		if v.Leaving || v.Rest > 0 {
-			retry = f.retryElsewhere()
+			retry = f.retryAfterElsewhere()
 		}
-		return notRun("the upstream refused: "+strconv.Itoa(e.StatusCode), retry)
+		return notRunError("the upstream refused: "+strconv.Itoa(e.StatusCode), retry)
 	}
-	f.neverRan = false
+	f.allNotRun = false
 	ok := isSuccess(e.StatusCode)
 	if f.headSent && !ok {
 		return &attemptError{text: "the upstream did not continue the stream"}
 	}
 	if v.Revision > 0 && !f.headSent {
 		f.revision = v.Revision
-		t.moved(f.position())
+		t.updatePosition(f.currentPosition())
 	}
 	if ok && f.route.Kind == catalog.Streaming {
-		return t.stream()
+		return t.forwardStream()
 	}
-	if !t.progressed() {
-		return t.broke("another upstream continued the stream")
+	if !t.noteProgress() {
+		return t.handleBreak("another upstream continued the stream")
 	}
-	return t.plain()
+	return t.forwardPlain()
 }
 
 func isSuccess(status int) bool {
 	return status >= http.StatusOK && status < http.StatusMultipleChoices
 }
 
-// plain passes an answer on that is no stream.
-func (t *attempt) plain() *attemptError {
-	f, e := t.flight, t.exchange
-	t.started()
-	body, err := io.ReadAll(io.LimitReader(e.Body, heldAnswer))
+// forwardPlain forwards a response that is not a stream.
+func (t *attempt) forwardPlain() *attemptError {
+	f, e := t.request, t.exchange
+	t.noteAnswerStart()
+	body, err := io.ReadAll(io.LimitReader(e.Body, maxBufferedAnswer))
 	if err != nil {
-		return t.broke("the upstream broke off in its answer")
+		return t.handleBreak("the upstream broke off in its answer")
 	}
 	if f.gateway.dialect.PromisesNotRun(e.StatusCode) {
-		// The upstream says "not run" in its status and does not prove it: passed on, it would be our promise.
-		t.whole = true
+		// The status says that the request was not run, but the header does not prove it. The gateway cannot vouch for
+		// that, so it does not forward the status.
+		t.answerComplete = true
 		return &attemptError{text: "the upstream answered " + strconv.Itoa(e.StatusCode) + " without proof"}
 	}
-	if e.StatusCode >= http.StatusInternalServerError && f.route.Kind == catalog.Safe && f.canRepeat() {
-		t.whole = true
+	if e.StatusCode >= http.StatusInternalServerError && f.route.Kind == catalog.Safe && f.canRetry() {
+		t.answerComplete = true
 		return &attemptError{text: "the upstream answered " + strconv.Itoa(e.StatusCode)}
 	}
-	long := len(body) == heldAnswer
-	t.head(!long, len(body))
-	if _, err := f.w.Write(body); err != nil {
-		return t.callerGone()
+	exceedsBuffer := len(body) == maxBufferedAnswer
+	t.sendHead(!exceedsBuffer, len(body))
+	if _, err := f.writer.Write(body); err != nil {
+		return t.callerGoneError()
 	}
-	if long {
-		if _, err := io.Copy(f.w, e.Body); err != nil {
-			return t.broke("the upstream broke off in its answer")
+	if exceedsBuffer {
+		if _, err := io.Copy(f.writer, e.Body); err != nil {
+			return t.handleBreak("the upstream broke off in its answer")
 		}
 	}
-	t.whole = true
+	t.answerComplete = true
 	if e.StatusCode < http.StatusMultipleChoices {
-		f.gateway.list.Served(f.fingerprint)
+		f.gateway.suspects.Served(f.fingerprint)
 	}
-	f.done(strconv.Itoa(e.StatusCode))
+	f.complete(strconv.Itoa(e.StatusCode))
 	return nil
 }
 
-// started notes that the upstream has begun to answer.
-func (t *attempt) started() {
-	if t.begun {
+// noteAnswerStart records that the upstream has started to answer.
+func (t *attempt) noteAnswerStart() {
+	if t.startRecorded {
 		return
 	}
-	t.begun = true
-	t.answering.Store(true)
-	f := t.flight
-	f.begun.Store(true)
-	took := t.mark.RecordFirstEvent()
+	t.startRecorded = true
+	t.answerStarted.Store(true)
+	f := t.request
+	f.answerBegun.Store(true)
+	took := t.tracked.RecordFirstEvent()
 	if !f.headSent {
-		f.first = f.gateway.now().Sub(f.arrived)
-		f.gateway.tally.observe(histTime, f.first)
-		f.gateway.tally.observe(histDecision, took-t.choice.Predicted)
+		f.timeToFirst = f.gateway.now().Sub(f.arrived)
+		f.gateway.metrics.observe(histFirstEvent, f.timeToFirst)
+		f.gateway.metrics.observe(histPredictionError, took-t.choice.Predicted)
 	}
 }
 
-// head sends the answer's head, with its length where the whole body is there.
-func (t *attempt) head(sized bool, length int) {
-	f, e := t.flight, t.exchange
+// sendHead sends the response header, with the length if the whole body is buffered.
+func (t *attempt) sendHead(withLength bool, length int) {
+	f, e := t.request, t.exchange
 	if f.headSent {
 		return
 	}
 	f.headSent = true
-	to := f.w.Header()
-	for name, values := range passOn(e.Header) {
-		to[name] = values
+	header := f.writer.Header()
+	for name, values := range forwardedHeader(e.Header) {
+		header[name] = values
 	}
-	if len(to["Content-Type"]) == 0 {
-		to["Content-Type"] = nil
+	if len(header["Content-Type"]) == 0 {
+		header["Content-Type"] = nil
 	}
-	if sized {
-		to.Set("Content-Length", strconv.Itoa(length))
+	if withLength {
+		header.Set("Content-Length", strconv.Itoa(length))
 	}
 	if f.gateway.leaving.Load() {
-		to.Set("Connection", "close")
+		header.Set("Connection", "close")
 	}
-	f.w.WriteHeader(e.StatusCode)
+	f.writer.WriteHeader(e.StatusCode)
 }
 
-func (t *attempt) callerGone() *attemptError {
-	t.left()
+func (t *attempt) callerGoneError() *attemptError {
+	t.reportAbandoned()
 	return &attemptError{text: "the caller takes no more", final: true}
 }
 
-// stream passes events on as they come. Of a resumable stream only whole events go out, so that another upstream can
-// take it up after any of them.
-func (t *attempt) stream() *attemptError {
-	t.flight.events.restart()
-	return t.read()
+// forwardStream forwards events as they arrive. Of a resumable stream only whole events are forwarded, so that
+// another upstream can continue after any of them.
+func (t *attempt) forwardStream() *attemptError {
+	t.request.events.dropPartial()
+	return t.forwardEvents()
 }
 
-// read passes on what follows of a stream.
-func (t *attempt) read() *attemptError {
-	f, e := t.flight, t.exchange
-	buffer := make([]byte, readSize)
+// forwardEvents forwards the rest of a stream.
+func (t *attempt) forwardEvents() *attemptError {
+	f, e := t.request, t.exchange
+	buffer := make([]byte, streamReadSize)
 	for {
 		n, err := e.Body.Read(buffer)
-		if (n > 0 || errors.Is(err, io.EOF)) && !t.progressed() {
-			return t.broke("another upstream continued the stream")
+		if (n > 0 || errors.Is(err, io.EOF)) && !t.noteProgress() {
+			return t.handleBreak("another upstream continued the stream")
 		}
 		if n > 0 {
-			t.started()
-			t.lastByte = f.gateway.now()
-			if !t.pass(f.events.feed(buffer[:n], f.route.Resumable)) {
-				return t.callerGone()
+			t.noteAnswerStart()
+			t.lastByteAt = f.gateway.now()
+			if !t.writeEvents(f.events.feed(buffer[:n], f.route.Resumable)) {
+				return t.callerGoneError()
 			}
 		}
 		if err != nil {
-			return t.ended(err)
+			return t.finishStream(err)
 		}
 	}
 }
 
-// pass sends events on to the caller, and says whether it takes them.
-func (t *attempt) pass(events []byte) bool {
-	f := t.flight
-	defer func() { t.moved(f.position()) }()
+// writeEvents writes events to the caller and reports whether that succeeded.
+func (t *attempt) writeEvents(events []byte) bool {
+	f := t.request
+	defer func() { t.updatePosition(f.currentPosition()) }()
 	if len(events) == 0 {
 		return true
 	}
-	t.head(false, 0)
-	_, err := f.w.Write(events)
-	return err == nil && http.NewResponseController(f.w).Flush() == nil
+	t.sendHead(false, 0)
+	_, err := f.writer.Write(events)
+	return err == nil && http.NewResponseController(f.writer).Flush() == nil
 }
 
-// ended is the end of a stream: io.EOF, or what broke it off.
-func (t *attempt) ended(err error) *attemptError {
-	f := t.flight
+// finishStream handles the end of a stream: io.EOF, or the error that interrupted it.
+func (t *attempt) finishStream(err error) *attemptError {
+	f := t.request
 	switch {
 	case !errors.Is(err, io.EOF):
-		return t.broke("the upstream broke off its stream")
-	case f.events.partial():
-		return t.broke("the upstream ended its stream within an event")
-	}
-	t.head(false, 0)
-	t.whole = true
-	f.gateway.list.Served(f.fingerprint)
-	f.done("stream")
+		return t.handleBreak("the upstream broke off its stream")
+	case f.events.hasPartial():
+		return t.handleBreak("the upstream ended its stream within an event")
+	}
+	t.sendHead(false, 0)
+	t.answerComplete = true
+	f.gateway.suspects.Served(f.fingerprint)
+	f.complete("stream")
 	return nil
 }
 
-// done notes an answer that the caller has whole.
-func (f *flight) done(outcome string) {
-	f.gateway.tally.add("answered")
+// complete records that the caller has received the complete response.
+func (f *callerRequest) complete(outcome string) {
+	f.gateway.metrics.count("answered")
 	if f.attempts > 1 {
-		f.gateway.tally.add("answered_after_repeat")
+		f.gateway.metrics.count("answered_after_repeat")
 	}
 	f.logLine(outcomeAnswered, outcome)
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -12,211 +12,214 @@
 )
 
 const (
-	// firstStall is how long beyond twice its predicted time a first event may take before another upstream is asked.
-	firstStall = 700 * time.Millisecond
-	// eventStall is how long a stream may pause before another upstream is asked to continue it.
-	eventStall = 1200 * time.Millisecond
-	// refusedRetry is when a caller may come back whose request an upstream itself refused.
-	refusedRetry = 250 * time.Millisecond
+	// firstEventSlack is the time beyond twice the predicted time to the first event after which a hedged request is
+	// sent.
+	firstEventSlack = 700 * time.Millisecond
+	// eventStallTimeout is how long a stream may pause before another upstream is asked to continue it.
+	eventStallTimeout = 1200 * time.Millisecond
+	// refusedRetryAfter is the Retry-After of a request that an upstream refused.
+	refusedRetryAfter = 250 * time.Millisecond
 )
 
-// HedgeDelay is how long a first event that was predicted after a time may take before another upstream is asked.
+// HedgeDelay returns how long to wait for a first event, given its predicted time, before a hedged request is sent.
 func HedgeDelay(predicted time.Duration) time.Duration {
-	return 2*predicted + firstStall
+	return 2*predicted + firstEventSlack
 }
 
-// attempt sends the request to one upstream. It returns nil once the caller has its answer.
-func (f *flight) attempt(ctx context.Context) *attemptError {
+// tryUpstream sends the request to one upstream. It returns nil once the caller has its response.
+func (f *callerRequest) tryUpstream(ctx context.Context) *attemptError {
 	c, p := f.choose(ctx)
 	if p != nil {
 		return p
 	}
-	t := f.begin(ctx, c)
-	defer t.end()
-	t.watch(HedgeDelay(c.Predicted))
+	t := f.startAttempt(ctx, c)
+	defer t.release()
+	t.startStallTimer(HedgeDelay(c.Predicted))
 	p = t.send()
 	if p == nil {
-		p = t.take()
+		p = t.forwardAnswer()
 	}
-	return t.settle(p)
+	return t.resolve(p)
 }
 
-// begin makes the attempt at an upstream that has been chosen.
-func (f *flight) begin(ctx context.Context, c placement.Choice) *attempt {
+// startAttempt records an attempt at the chosen upstream.
+func (f *callerRequest) startAttempt(ctx context.Context, c placement.Choice) *attempt {
 	g := f.gateway
 	f.tried[c.Instance] = true
-	f.upstream = c.Address
+	f.upstreamAddress = c.Address
 	if !f.headSent {
-		f.predicted = c.Predicted
+		f.predictedFirst = c.Predicted
 	}
-	if f.ask.Model != "" && c.Domain != g.domain {
-		g.load.Offers.CrossDomain.Record(f.pool)
+	if f.meta.Model != "" && c.Domain != g.domain {
+		g.loadSources.Offers.CrossDomain.Record(f.pool)
 	}
 	f.attempts++
 	t := &attempt{
-		flight: f, choice: c, mark: g.load.Tracker.Begin(c.Address, f.ask.PromptTokens), permit: f.permit, parent: ctx,
-		attempts: f.attempts, eventsBefore: f.events.passed, lastByte: g.now(), position: f.position(),
+		request: f, choice: c, tracked: g.loadSources.Tracker.Begin(c.Address, f.meta.PromptTokens), permit: f.permit, parentCtx: ctx,
+		attemptNumber: f.attempts, eventsBefore: f.events.forwarded, lastByteAt: g.now(), position: f.currentPosition(),
 	}
-	t.ctx, t.stop = context.WithCancelCause(ctx)
-	if c.Revision > 0 && f.ask.Model != "" {
-		t.watchVersion()
+	t.ctx, t.cancel = context.WithCancelCause(ctx)
+	if c.Revision > 0 && f.meta.Model != "" {
+		t.startVersionTimer()
 	}
 	return t
 }
 
-// end gives back what the attempt holds.
-func (t *attempt) end() {
+// release frees the attempt's connection, timers and load accounting.
+func (t *attempt) release() {
 	if t.exchange != nil {
-		t.exchange.Release(t.whole)
+		t.exchange.Release(t.answerComplete)
 	}
-	if t.versionEnd != nil {
-		t.versionEnd.Stop()
+	if t.versionTimer != nil {
+		t.versionTimer.Stop()
 	}
-	t.stop(nil)
-	t.mark.End()
+	t.cancel(nil)
+	t.tracked.End()
 }
 
-// send sends the request and waits for the head of its answer.
+// send sends the request and waits for the response header.
 func (t *attempt) send() *attemptError {
-	f := t.flight
-	e, err := f.gateway.pool.Send(t.ctx, t.choice.Address, f.message(t.choice))
+	f := t.request
+	e, err := f.gateway.connections.Send(t.ctx, t.choice.Address, f.upstreamRequest(t.choice))
 	switch {
 	case errors.Is(err, upconn.ErrSendDenied):
 		f.attempts--
-		return f.heldBack()
+		return f.notSentError()
 	case errors.Is(err, upconn.ErrNotSent):
 		f.attempts--
-		t.mark.RecordFailure()
-		return notRun("no connection to the upstream", refusedRetry)
+		t.tracked.RecordFailure()
+		return notRunError("no connection to the upstream", refusedRetryAfter)
 	case err != nil:
-		return t.broke("the upstream broke off before its answer")
+		return t.handleBreak("the upstream broke off before its answer")
 	}
 	t.exchange = e
 	return nil
 }
 
-// message makes what is sent to an upstream.
-func (f *flight) message(c placement.Choice) *upconn.Request {
-	r := f.request
-	h := passOn(r.Header)
-	s := ForwardMeta{Instance: c.Instance, Organisation: f.org, Timeout: f.deadline.Sub(f.gateway.now()), LastEventID: f.events.last}
-	if f.headSent || f.gateway.facts.MinRevision(f.ask.Model, f.gateway.settings.SwapWithin-swapMargin) > 0 {
+// upstreamRequest builds the request that is sent to an upstream.
+func (f *callerRequest) upstreamRequest(c placement.Choice) *upconn.Request {
+	r := f.httpRequest
+	h := forwardedHeader(r.Header)
+	s := ForwardMeta{Instance: c.Instance, Organisation: f.organisation, Timeout: f.deadline.Sub(f.gateway.now()), LastEventID: f.events.lastID}
+	if f.headSent || f.gateway.facts.MinRevision(f.meta.Model, f.gateway.settings.SwapWithin-swapMargin) > 0 {
 		s.Revision = c.Revision
 	}
 	f.gateway.dialect.PrepareHeader(h, s)
 	return &upconn.Request{
-		Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: h, Body: f.body, BodyRest: f.rest, ContentLength: r.ContentLength,
-		Incarnation: c.Incarnation, MaySend: func(dialled time.Duration) bool { return f.may(c, dialled) },
+		Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: h, Body: f.body, BodyRest: f.unreadBody, ContentLength: r.ContentLength,
+		Incarnation: c.Incarnation, MaySend: func(dialled time.Duration) bool { return f.maySend(c, dialled) },
 	}
 }
 
-// may says whether an admitted request may still be sent once its connection, which took a time, is there. The upstream
-// must not have said meanwhile that it leaves, or asked for rest.
-func (f *flight) may(c placement.Choice, dialled time.Duration) bool {
-	f.held = ""
+// maySend reports whether an admitted request may still be sent once its connection, which took the given time to
+// dial, is established. It may not if the upstream has meanwhile announced that it is draining or asked for a
+// pause.
+func (f *callerRequest) maySend(c placement.Choice, dialled time.Duration) bool {
+	f.notSent = ""
 	switch {
 	case f.gateway.facts.AnnouncedLeaving(c.Instance, c.Incarnation):
-		f.held = heldLeaving
-	case f.gateway.load.Tracker.RestRemaining(c.Address, c.Instance) > 0:
-		f.held = heldResting
-	case !f.inTime(c, dialled):
-		f.held = heldVersion
+		f.notSent = notSentLeaving
+	case f.gateway.loadSources.Tracker.RestRemaining(c.Address, c.Instance) > 0:
+		f.notSent = notSentResting
+	case !f.beginsInTime(c, dialled):
+		f.notSent = notSentVersion
 	}
-	return f.held == ""
+	return f.notSent == ""
 }
 
-// heldReason is why a request was not sent although an upstream had been chosen for it.
-type heldReason string
+// notSentReason is the reason why a request was not sent although an upstream had been chosen for it.
+type notSentReason string
 
 const (
-	heldVersion heldReason = "version"
-	heldLeaving heldReason = "leaving"
-	heldResting heldReason = "resting"
+	notSentVersion notSentReason = "version"
+	notSentLeaving notSentReason = "leaving"
+	notSentResting notSentReason = "resting"
 )
 
-// heldBack is what comes of an attempt that was not sent.
-func (f *flight) heldBack() *attemptError {
-	f.gateway.tally.add("held_for_" + string(f.held))
-	switch f.held {
-	case heldLeaving:
-		return notRun("the upstream leaves", f.retryElsewhere())
-	case heldResting:
-		return notRun("the upstream rests", f.retryElsewhere())
+// notSentError returns the error of an attempt that was not sent.
+func (f *callerRequest) notSentError() *attemptError {
+	f.gateway.metrics.count("held_for_" + string(f.notSent))
+	switch f.notSent {
+	case notSentLeaving:
+		return notRunError("the upstream leaves", f.retryAfterElsewhere())
+	case notSentResting:
+		return notRunError("the upstream rests", f.retryAfterElsewhere())
 	default:
-		return notRun("the connection came too late for the version there", f.decision.swapRetry(f.gateway.now()))
+		return notRunError("the connection came too late for the version there", f.decision.retryAfterSwap(f.gateway.now()))
 	}
 }
 
-// inTime says whether a request may still be sent as far as time goes. Its deadline and that of its permit must not have
-// passed, as after a suspension, and its version must have as much time left as at admission, and as the request needs on
-// a connection that is as slow as the dial or the permit was.
-func (f *flight) inTime(c placement.Choice, dialled time.Duration) bool {
-	if f.left() <= 0 || (!f.permitEnds.IsZero() && f.gateway.now().After(f.permitEnds)) {
+// beginsInTime reports whether the request would still begin in time. Its deadline and that of its permit must not
+// have passed, as can happen in a suspension. Its version must remain valid for the margin required at admission,
+// and for the predicted wait on a link that is as slow as the dial or the permit request was.
+func (f *callerRequest) beginsInTime(c placement.Choice, dialled time.Duration) bool {
+	if f.remaining() <= 0 || (!f.permitExpiry.IsZero() && f.gateway.now().After(f.permitExpiry)) {
 		return false
 	}
-	if c.Revision == 0 || f.ask.Model == "" {
+	if c.Revision == 0 || f.meta.Model == "" {
 		return true
 	}
 	g := f.gateway
-	until := g.facts.ServableUntil(f.ask.Model, c.Revision, g.settings.SwapWithin)
-	return until.IsZero() || !g.now().Add(max(c.Margin, c.ExpectedWait+wayDialled*max(dialled, f.asked))).After(until)
+	versionEnd := g.facts.ServableUntil(f.meta.Model, c.Revision, g.settings.SwapWithin)
+	return versionEnd.IsZero() || !g.now().Add(max(c.Margin, c.ExpectedWait+dialDelayFactor*max(dialled, f.permitWait))).After(versionEnd)
 }
 
-// wayDialled bounds how many times longer than the dial or the permit a request may take on the link: the queue may
-// have grown since.
-const wayDialled = 2
+// dialDelayFactor bounds how many times longer than the dial or the permit request a request may take on the link,
+// as its queue may have grown since.
+const dialDelayFactor = 2
 
-// attempt is one's exchange with an upstream.
+// attempt is one exchange of a request with one upstream.
 type attempt struct {
-	flight *flight
-	choice placement.Choice
-	mark   *placement.Attempt
-	// permit is the number of the permit that it has; 0 for none.
+	request *callerRequest
+	choice  placement.Choice
+	tracked *placement.Attempt
+	// permit is the number of the attempt's rate limit permit; 0 for none.
 	permit   uint64
 	exchange *upconn.Exchange
-	// versionEnd looks whether the version's time is over; see watchVersion.
-	versionEnd *time.Timer
-	// parent outlives the attempt, and ctx ends with it.
-	parent, ctx context.Context
-	stop        context.CancelCauseFunc
-	// whole is true once the answer has been read to its end, so that the connection can be used again.
-	whole bool
-	begun bool
-	// answering is true once the upstream has sent anything of its answer.
-	answering atomic.Bool
-	// attempts is the number of attempts at the request with this one, and eventsBefore that of the events that the
-	// caller had before it.
-	attempts, eventsBefore int
-	// lastByte is when the upstream last sent anything, or when the request was sent.
-	lastByte time.Time
+	// versionTimer checks whether the grace period of the upstream's version has ended; see startVersionTimer.
+	versionTimer *time.Timer
+	// parentCtx is the request's context; ctx is the attempt's own and ends with it.
+	parentCtx, ctx context.Context
+	cancel         context.CancelCauseFunc
+	// answerComplete is true once the response has been read to its end, so that the connection can be reused.
+	answerComplete bool
+	startRecorded  bool
+	// answerStarted is true once the upstream has sent any part of its response.
+	answerStarted atomic.Bool
+	// attemptNumber counts the attempts at the request up to this one, and eventsBefore the events that the caller had
+	// received before it.
+	attemptNumber, eventsBefore int
+	// lastByteAt is when the upstream last sent data, or when the request was sent.
+	lastByteAt time.Time
 
 	mu sync.Mutex
-	// position is how far the caller's answer has come.
-	position position
-	// watchdog fires when the upstream has been silent for too long; nil where the stream can't be continued elsewhere.
-	watchdog *time.Timer
-	// hedge is the attempt at another upstream beside this one; nil for none.
+	// position is how far the caller's response has come.
+	position streamPosition
+	// stallTimer fires when the upstream has been silent for too long; nil if the stream cannot be continued by
+	// another one.
+	stallTimer *time.Timer
+	// hedge is the concurrent attempt at another upstream; nil for none.
 	hedge *hedge
-	// spent are hedges that brought nothing.
-	spent []*hedge
-	// passing is true while something of the answer is on its way to the caller, so that position is behind.
-	passing bool
-	// over is true once the exchange has ended.
-	over bool
+	// failedHedges are hedged attempts that produced nothing.
+	failedHedges []*hedge
+	// forwarding is true while data is being written to the caller, so that position is out of date.
+	forwarding bool
+	// ended is true once the exchange has ended.
+	ended bool
 }
 
-// closed says whether an upstream is about to load weights.
-func (g *Gateway) closed(address string) bool {
-	r, ok := g.load.Tracker.FreshReport(address)
+// aboutToLoad reports whether an upstream has stopped taking requests in order to load weights.
+func (g *Gateway) aboutToLoad(address string) bool {
+	r, ok := g.loadSources.Tracker.FreshReport(address)
 	return ok && r.Closed
 }
 
-// canRepeat says whether a safe request that an upstream failed may be offered to another one.
-func (f *flight) canRepeat() bool {
-	return f.attemptsLeft() && f.gateway.now().Before(f.deadline)
+// canRetry reports whether an idempotent request that an upstream failed may be sent to another one.
+func (f *callerRequest) canRetry() bool {
+	return f.hasAttemptsLeft() && f.gateway.now().Before(f.deadline)
 }
 
-// attemptsLeft says whether the route lets the request be offered once more, and its body is still there.
-func (f *flight) attemptsLeft() bool {
-	return f.attempts < f.route.MaxAttempts && f.rest == nil
+// hasAttemptsLeft reports whether the route allows another attempt and the whole body is buffered.
+func (f *callerRequest) hasAttemptsLeft() bool {
+	return f.attempts < f.route.MaxAttempts && f.unreadBody == nil
 }
--- a/internal/gateway/attempt_end.go
+++ b/internal/gateway/attempt_end.go
@@ -11,38 +11,38 @@
 )
 
 var (
-	// errStalled ends an attempt whose upstream has been silent for too long.
+	// errStalled cancels an attempt whose upstream has been silent for too long.
 	errStalled = errors.New("the upstream stalled")
-	// errOvertaken ends an attempt beside another one that has gone on first.
-	errOvertaken = errors.New("another upstream went on first")
-	// errVersionOver ends an attempt that has not begun before its upstream's version may begin no more requests.
-	errVersionOver = errors.New("the version's time is over")
+	// errOvertaken cancels an attempt when the concurrent attempt at another upstream has made progress first.
+	errOvertaken = errors.New("another upstream made progress first")
+	// errVersionOver cancels an attempt that has not begun when the grace period of its upstream's version ends.
+	errVersionOver = errors.New("the grace period of the version has ended")
 )
 
-// endReason says who ended an attempt that brought no whole answer, and why.
+// endReason is the cause of an attempt that ended without a complete response.
 type endReason string
 
 const (
-	endCallerLeft   endReason = "caller_left"
-	endDeadline     endReason = "caller_deadline"
-	endRouteTimeout endReason = "route_timeout"
-	endShutdown     endReason = "gateway_shutdown"
-	endHeld         endReason = "held"
-	endStalled      endReason = "upstream_stalled"
-	endOvertaken    endReason = "overtaken"
-	endVersionOver  endReason = "version_over"
-	endLoading      endReason = "upstream_loading"
-	endBrokeOff     endReason = "upstream_broke_off"
+	endCallerLeft     endReason = "caller_left"
+	endCallerDeadline endReason = "caller_deadline"
+	endRouteTimeout   endReason = "route_timeout"
+	endShutdown       endReason = "gateway_shutdown"
+	endQuarantined    endReason = "held"
+	endStalled        endReason = "upstream_stalled"
+	endOvertaken      endReason = "overtaken"
+	endVersionOver    endReason = "version_over"
+	endLoading        endReason = "upstream_loading"
+	endBrokeOff       endReason = "upstream_broke_off"
 )
 
-// attemptEnd is how one attempt ended without a whole answer. It goes into the line of the request.
+// attemptEnd describes an attempt that ended without a complete response. It is part of the request's log line.
 type attemptEnd struct {
 	reason   endReason
 	instance id.Instance
 	progress string
-	// events is the number of events that the attempt passed on to the caller.
+	// events is the number of events that the attempt forwarded to the caller.
 	events int
-	// silence is the time since the upstream last sent anything, or since the request was sent.
+	// silence is the time since the upstream last sent data, or since the request was sent.
 	silence time.Duration
 }
 
@@ -52,41 +52,41 @@
 		Int("events", a.events).Int64("silent_ms", a.silence.Milliseconds())
 }
 
-// endReason finds out who ended the attempt.
-func (t *attempt) endReason() endReason {
-	f := t.flight
+// findEndReason determines what ended the attempt.
+func (t *attempt) findEndReason() endReason {
+	f := t.request
 	g := f.gateway
 	cause := context.Cause(t.ctx)
 	switch {
-	case f.request.Context().Err() != nil && g.stopped.Load():
+	case f.httpRequest.Context().Err() != nil && g.connectionsClosed.Load():
 		return endShutdown
-	case f.request.Context().Err() != nil:
+	case f.httpRequest.Context().Err() != nil:
 		return endCallerLeft
-	case !g.now().Before(f.callerGives):
-		return endDeadline
+	case !g.now().Before(f.callerDeadline):
+		return endCallerDeadline
 	case !g.now().Before(f.deadline):
 		return endRouteTimeout
-	case errors.Is(cause, errHeld):
-		return endHeld
+	case errors.Is(cause, errQuarantined):
+		return endQuarantined
 	case errors.Is(cause, errOvertaken):
 		return endOvertaken
 	case errors.Is(cause, errVersionOver):
 		return endVersionOver
 	case t.ctx.Err() != nil:
 		return endStalled
-	case g.closed(t.choice.Address):
+	case g.aboutToLoad(t.choice.Address):
 		return endLoading
 	default:
 		return endBrokeOff
 	}
 }
 
-// noteEnd keeps how the attempt ended for the line of the request, and counts it.
-func (t *attempt) noteEnd(r endReason) {
-	f := t.flight
-	f.ends = append(f.ends, &attemptEnd{
-		reason: r, instance: t.choice.Instance, progress: t.progress(),
-		events: f.events.passed - t.eventsBefore, silence: f.gateway.now().Sub(t.lastByte),
+// recordEnd adds the end of the attempt to the request's log line and to the metrics.
+func (t *attempt) recordEnd(r endReason) {
+	f := t.request
+	f.failedAttempts = append(f.failedAttempts, &attemptEnd{
+		reason: r, instance: t.choice.Instance, progress: t.answerProgress(),
+		events: f.events.forwarded - t.eventsBefore, silence: f.gateway.now().Sub(t.lastByteAt),
 	})
-	f.gateway.tally.add("attempt_ended_" + string(r))
+	f.gateway.metrics.count("attempt_ended_" + string(r))
 }
--- a/internal/gateway/attempt_end_test.go
+++ b/internal/gateway/attempt_end_test.go
@@ -16,7 +16,7 @@
 	"github.com/springrail/springrail/internal/placement"
 )
 
-var _ = Describe("the line of a request whose answer ended early", func() {
+var _ = Describe("the log line of a request whose response ended early", func() {
 	event := "id: 1\ndata: a\n\n"
 	silent := func(q *http.Request, _ string, c net.Conn) {
 		stream(c, q, "", event)
@@ -25,52 +25,52 @@
 	var (
 		b     *testbed
 		r     *catalog.Route
-		lines *pages
+		lines *logBuffer
 	)
 	BeforeEach(func() {
 		r = route(catalog.Streaming, "engines")
 		r.MaxAttempts = 1
 		b = newTestbed(r)
-		lines = &pages{}
+		lines = &logBuffer{}
 		b.gateway.log = &log.Logger{Level: log.InfoLevel, Writer: log.IOWriter{Writer: lines}}
 	})
-	ended := func(reason endReason) {
+	expectEnd := func(reason endReason) {
 		GinkgoHelper()
 		Eventually(lines.String).Should(ContainSubstring(
 			fmt.Sprintf(`"ended":[{"reason":%q,"instance":"u","progress":"in body","events":1,"silent_ms":`, reason)))
-		Expect(b.gateway.tally.vars.Get("attempt_ended_" + string(reason)).String()).To(Equal("1"))
+		Expect(b.gateway.metrics.vars.Get("attempt_ended_" + string(reason)).String()).To(Equal("1"))
 	}
 
-	It("says that the upstream broke off", func() {
-		b.upstream("u", "engines", func(q *http.Request, _ string, c net.Conn) { stream(c, q, "", event) })
-		_, _, _ = b.ask("POST", "/p/", "x", xModel, "m", "X-Hang-Up", "1")
-		ended(endBrokeOff)
+	It("states that the upstream broke off", func() {
+		b.addUpstream("u", "engines", func(q *http.Request, _ string, c net.Conn) { stream(c, q, "", event) })
+		_, _, _ = b.sendRequest("POST", "/p/", "x", xModel, "m", "X-Hang-Up", "1")
+		expectEnd(endBrokeOff)
 	})
 
-	It("says that the upstream was about to load weights", func() {
-		b.upstream("u", "engines", func(q *http.Request, _ string, c net.Conn) {
+	It("states that the upstream was about to load weights", func() {
+		b.addUpstream("u", "engines", func(q *http.Request, _ string, c net.Conn) {
 			stream(c, q, "", event)
 			b.tracker.SetReport(b.facts.Instance("u").Address, placement.LoadReport{Closed: true, ReceivedAt: time.Now()})
 		})
-		_, _, _ = b.ask("POST", "/p/", "x", xModel, "m", "X-Hang-Up", "1")
-		ended(endLoading)
+		_, _, _ = b.sendRequest("POST", "/p/", "x", xModel, "m", "X-Hang-Up", "1")
+		expectEnd(endLoading)
 	})
 
-	It("says that the route's timeout passed", func() {
+	It("states that the route timed out", func() {
 		r.Timeout = 100 * time.Millisecond
-		b.upstream("u", "engines", silent)
-		_, _, _ = b.ask("POST", "/p/", "x", xModel, "m")
-		ended(endRouteTimeout)
+		b.addUpstream("u", "engines", silent)
+		_, _, _ = b.sendRequest("POST", "/p/", "x", xModel, "m")
+		expectEnd(endRouteTimeout)
 	})
 
-	It("says that the caller's deadline passed", func() {
-		b.upstream("u", "engines", silent)
-		_, _, _ = b.ask("POST", "/p/", "x", xModel, "m", xWait, "100")
-		ended(endDeadline)
+	It("states that the caller's deadline passed", func() {
+		b.addUpstream("u", "engines", silent)
+		_, _, _ = b.sendRequest("POST", "/p/", "x", xModel, "m", xTimeout, "100")
+		expectEnd(endCallerDeadline)
 	})
 
-	It("says that the caller left", func() {
-		b.upstream("u", "engines", silent)
+	It("states that the caller disconnected", func() {
+		b.addUpstream("u", "engines", silent)
 		c, err := net.Dial("tcp", strings.TrimPrefix(b.server.URL, "http://"))
 		Expect(err).NotTo(HaveOccurred())
 		_, err = io.WriteString(c, "POST /p/ HTTP/1.1\r\nHost: h.example\r\n"+xRequest+": 1\r\n"+xModel+": m\r\nContent-Length: 1\r\n\r\nx")
@@ -78,15 +78,15 @@
 		_, err = c.Read(make([]byte, 1))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(c.Close()).To(Succeed())
-		ended(endCallerLeft)
+		expectEnd(endCallerLeft)
 	})
 
-	It("names both attempts of a stream that breaks off twice", func() {
+	It("lists both attempts of a stream that breaks off twice", func() {
 		r.MaxAttempts = 2
 		breaks := func(q *http.Request, _ string, c net.Conn) { stream(c, q, xRevision+": 1\r\n", event, "id: 2\nda") }
-		b.upstream("u", "engines", breaks)
-		b.upstream("v", "engines", breaks)
-		_, _, _ = b.ask("POST", "/p/", "x", xModel, "m", "X-Hang-Up", "1")
+		b.addUpstream("u", "engines", breaks)
+		b.addUpstream("v", "engines", breaks)
+		_, _, _ = b.sendRequest("POST", "/p/", "x", xModel, "m", "X-Hang-Up", "1")
 		Eventually(lines.String).Should(And(
 			MatchRegexp(`"ended":\[\{"reason":"upstream_broke_off","instance":"[uv]","progress":"in body","events":1,`),
 			MatchRegexp(`\},\{"reason":"upstream_broke_off","instance":"[uv]","progress":"in body","events":0,`),
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -17,8 +17,8 @@
 	"github.com/springrail/springrail/internal/placement"
 )
 
-// BenchmarkChoice chooses an upstream among those of the users' target, 870 in 8 failure domains, with reports of all and 60
-// requests expected until the next ones.
+// BenchmarkChoice selects an upstream in a large deployment: 870 in 8 failure domains, with load reports of all and
+// 60 requests expected until the next reports.
 func BenchmarkChoice(b *testing.B) {
 	const upstreams, domains = 870, 8
 	now := time.Now()
@@ -49,15 +49,15 @@
 		Tracker: t, Offers: placement.NewDemandMeter(clock), Gateways: func() int { return 350 },
 		Demand: func(id.Pool) placement.Demand { return demand },
 	}
-	g := New(NewSettings(), testDialect(), f, load, unsuspecting(), (&net.Dialer{}).DialContext, "0", &log.Logger{Level: log.PanicLevel})
+	g := New(NewSettings(), testDialect(), f, load, emptyQuarantine(), (&net.Dialer{}).DialContext, "0", &log.Logger{Level: log.PanicLevel})
 	q, err := http.NewRequest(http.MethodPost, "/p/x", http.NoBody)
 	if err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		w := &flight{
-			gateway: g, request: q, arrived: now, catalog: f.Catalog(), route: r, pool: "engines", tried: map[id.Instance]bool{},
-			ask: RequestMeta{Model: "m", PromptTokens: 900}, deadline: now.Add(6 * time.Second), callerGives: now.Add(6 * time.Second),
+		w := &callerRequest{
+			gateway: g, httpRequest: q, arrived: now, catalog: f.Catalog(), route: r, pool: "engines", tried: map[id.Instance]bool{},
+			meta: RequestMeta{Model: "m", PromptTokens: 900}, deadline: now.Add(6 * time.Second), callerDeadline: now.Add(6 * time.Second),
 		}
 		if c, _ := w.choose(context.Background()); c.Address == "" {
 			b.Fatal("nothing chosen")
--- a/internal/gateway/broken.go
+++ b/internal/gateway/broken.go
@@ -1,51 +1,53 @@
 package gateway
 
-// broke is an exchange that ended early. An upstream is blamed unless the caller or the clock ended it.
-func (t *attempt) broke(text string) *attemptError {
-	f := t.flight
-	f.neverRan = false
-	f.broken, f.start = t.progress(), t.choice.Instance
-	r := t.endReason()
-	t.noteEnd(r)
+// handleBreak handles an exchange that ended early. The failure counts against the upstream unless the caller or a
+// timeout caused it.
+func (t *attempt) handleBreak(text string) *attemptError {
+	f := t.request
+	f.allNotRun = false
+	f.brokenProgress, f.brokenInstance = t.answerProgress(), t.choice.Instance
+	r := t.findEndReason()
+	t.recordEnd(r)
 	switch r {
-	case endCallerLeft, endShutdown, endDeadline, endRouteTimeout, endOvertaken:
-		t.left()
-	case endHeld:
-		t.left()
+	case endCallerLeft, endShutdown, endCallerDeadline, endRouteTimeout, endOvertaken:
+		t.reportAbandoned()
+	case endQuarantined:
+		t.reportAbandoned()
 		return &attemptError{text: "held: upstreams have crashed under this request", final: true}
 	case endStalled:
-		t.left()
+		t.reportAbandoned()
 		return &attemptError{text: "the upstream stalled"}
 	case endVersionOver:
-		t.left()
-		t.mark.RecordStall()
+		t.reportAbandoned()
+		t.tracked.RecordStall()
 		return &attemptError{text: "the upstream stalled"}
 	case endLoading:
-		// It ends its requests to load weights, and there is nothing wrong with it, or else it has crashed under one of them.
-		f.gateway.witness.RequestBroken(t.at(), f.presence())
+		// An upstream cancels its requests before it loads weights, which is no failure, unless it crashed under one of
+		// them.
+		f.gateway.crashDetector.RequestBroken(t.upstreamIncarnation(), f.inFlightRequest())
 	case endBrokeOff:
-		t.mark.RecordFailure()
-		f.gateway.pool.CloseIdle(t.choice.Address)
-		f.gateway.witness.RequestBroken(t.at(), f.presence())
+		t.tracked.RecordFailure()
+		f.gateway.connections.CloseIdle(t.choice.Address)
+		f.gateway.crashDetector.RequestBroken(t.upstreamIncarnation(), f.inFlightRequest())
 	}
 	return &attemptError{text: text}
 }
 
-// How far the answer of an upstream had come.
+// The values of brokenProgress: how far the upstream's response had come.
 const (
-	noHead   = "no head"
-	headOnly = "head"
-	inBody   = "in body"
+	progressNoHead = "no head"
+	progressHead   = "head"
+	progressBody   = "in body"
 )
 
-// progress says how far the answer has come.
-func (t *attempt) progress() string {
+// answerProgress returns how far the response has come.
+func (t *attempt) answerProgress() string {
 	switch {
 	case t.exchange == nil:
-		return noHead
-	case !t.answering.Load():
-		return headOnly
+		return progressNoHead
+	case !t.answerStarted.Load():
+		return progressHead
 	default:
-		return inBody
+		return progressBody
 	}
 }
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -8,51 +8,53 @@
 	"github.com/springrail/springrail/internal/placement"
 )
 
-// desk is what decides on requests, with the gateway's present view.
-func (g *Gateway) desk() *Balancer {
-	return &Balancer{Facts: g.facts, Load: g.load, Domain: g.domain, SwapWithin: g.settings.SwapWithin, Now: g.now, Random: g.random}
+// balancer returns a Balancer with the gateway's current state.
+func (g *Gateway) balancer() *Balancer {
+	return &Balancer{Facts: g.facts, Load: g.loadSources, Domain: g.domain, SwapWithin: g.settings.SwapWithin, Now: g.now, Random: g.random}
 }
 
-// mostPermitAsks bounds the upstreams at which a request asks for a permit: each costs a round trip.
-const mostPermitAsks = 3
+// maxPermitRequests bounds the upstreams at which one request asks for a permit, as each costs a round trip.
+const maxPermitRequests = 3
 
-// choose picks the upstream for the next attempt, or says why there is none. Some need a permit of the stager beside them.
-func (f *flight) choose(ctx context.Context) (placement.Choice, *attemptError) {
-	f.permit, f.permitEnds = 0, time.Time{}
+// choose selects the upstream for the next attempt and acquires a permit of the stager on its VM if one is
+// required. It returns an error if no upstream can be chosen.
+func (f *callerRequest) choose(ctx context.Context) (placement.Choice, *attemptError) {
+	f.permit, f.permitExpiry = 0, time.Time{}
 	q := f.query()
 	for {
-		c, no := f.gateway.desk().Choose(q)
+		c, refusal := f.gateway.balancer().Choose(q)
 		f.decision = q.decision
-		if no != nil {
-			if no.Predicted > 0 {
-				f.predicted = no.Predicted
+		if refusal != nil {
+			if refusal.Predicted > 0 {
+				f.predictedFirst = refusal.Predicted
 			}
-			return c, &attemptError{text: no.Reason, notRun: true, final: true, retry: no.RetryAfter}
+			return c, &attemptError{text: refusal.Reason, notRun: true, final: true, retryAfter: refusal.RetryAfter}
 		}
-		if f.acquire(ctx, &c) {
+		if f.acquirePermit(ctx, &c) {
 			return c, nil
 		}
 		q.PermitDenied[c.Instance] = true
-		q.NoMorePermits = len(q.PermitDenied) >= mostPermitAsks
+		q.NoMorePermits = len(q.PermitDenied) >= maxPermitRequests
 	}
 }
 
-// query is the request as the desk sees it.
-func (f *flight) query() *Query {
+// query returns the request in the form that the Balancer takes.
+func (f *callerRequest) query() *Query {
 	return &Query{
-		Catalog: f.catalog, Pool: f.pool, Model: f.ask.Model, PromptTokens: f.ask.PromptTokens, Arrived: f.arrived, ElapsedBefore: f.lost, CallerDeadline: f.callerGives,
+		Catalog: f.catalog, Pool: f.pool, Model: f.meta.Model, PromptTokens: f.meta.PromptTokens, Arrived: f.arrived, ElapsedBefore: f.elapsedBefore, CallerDeadline: f.callerDeadline,
 		Tried: f.tried, Attempts: f.attempts, PermitDenied: map[id.Instance]bool{}, HeadSent: f.headSent, Revision: f.revision,
 	}
 }
 
-// retryElsewhere is when the caller may come back whose request an upstream does not want: soon where another one would
-// take it, otherwise when the first is due to.
-func (f *flight) retryElsewhere() time.Duration {
+// retryAfterElsewhere returns the Retry-After of a request that its upstream turned away: short if another upstream
+// would take it, otherwise the time until the first one is expected to.
+func (f *callerRequest) retryAfterElsewhere() time.Duration {
 	q := f.query()
-	// The request has been counted as an offer, and the upstreams that it was sent to may be there for the next one.
+	// The request already counts as offered load, and the upstreams that it was sent to may be available for the next
+	// try.
 	q.Tried, q.Attempts = nil, max(1, f.attempts)
-	if _, no := f.gateway.desk().Choose(q); no != nil {
-		return no.RetryAfter
+	if _, refusal := f.gateway.balancer().Choose(q); refusal != nil {
+		return refusal.RetryAfter
 	}
-	return refusedRetry
+	return refusedRetryAfter
 }
--- a/internal/gateway/crash.go
+++ b/internal/gateway/crash.go
@@ -10,108 +10,110 @@
 )
 
 const (
-	// heldRetry is when the caller of a held request may come back. Coming sooner is of no use: an operator has to lift it.
-	heldRetry = 10 * time.Minute
-	// suspectRetry is the same while upstreams have ended under a request and it is not yet known whether it was the
-	// cause. It is above the time in which an upstream begins a request that is tried alone.
-	suspectRetry = time.Second
+	// quarantineRetryAfter is the Retry-After of a quarantined request. A shorter time is of no use, as an operator has to
+	// lift the quarantine.
+	quarantineRetryAfter = 10 * time.Minute
+	// suspectRetryAfter is the Retry-After while upstreams have crashed under a request and it is not known yet
+	// whether it was the cause. It exceeds the time in which an upstream begins a request that runs alone.
+	suspectRetryAfter = time.Second
 )
 
-// errHeld ends a request that waits at an upstream when it turns out that upstreams crash under it.
-var errHeld = errors.New("upstreams have crashed under this request")
+// errQuarantined cancels a request that is queued at an upstream when the request is quarantined.
+var errQuarantined = errors.New("upstreams have crashed under this request")
 
-// checkQuarantine lets the request in, unless upstreams have crashed under it. One that is suspected is let in while no
-// repeat of it is under way here. It guards against a request that ends each upstream which begins it: sent on with
-// each repeat, one ended 40 upstreams in 34 s, and with them all that others had running there.
-func (f *flight) checkQuarantine() bool {
+// checkQuarantine admits the request unless upstreams have crashed under it. A suspected request is admitted only
+// while no retry of it is in flight here. This guards against a request that crashes each upstream that begins it:
+// with retries, one such request crashed 40 upstreams in 34 s, along with all other requests running there.
+func (f *callerRequest) checkQuarantine() bool {
 	g := f.gateway
-	v := g.list.Check(f.fingerprint)
-	f.alone = v == quarantine.Alone
-	f.ctx, f.stop = context.WithCancelCause(f.request.Context())
+	v := g.suspects.Check(f.fingerprint)
+	f.exclusive = v == quarantine.Alone
+	f.ctx, f.cancel = context.WithCancelCause(f.httpRequest.Context())
 	switch {
 	case v == quarantine.Held:
-		f.refuse("held: upstreams have crashed under this request", heldRetry)
+		f.refuse("held: upstreams have crashed under this request", quarantineRetryAfter)
 	case v == quarantine.Waits:
-		f.refuse("upstreams have just crashed under this request", suspectRetry)
-	case !g.flights.add(f):
-		f.refuse("a repeat of this request is tried alone", suspectRetry)
+		f.refuse("upstreams have just crashed under this request", suspectRetryAfter)
+	case !g.requests.add(f):
+		f.refuse("a repeat of this request is tried alone", suspectRetryAfter)
 	default:
 		return true
 	}
-	f.stop(nil)
+	f.cancel(nil)
 	return false
 }
 
-// presence is the request as those see it who look for what crashes upstreams.
-func (f *flight) presence() quarantine.InFlightRequest {
-	return quarantine.InFlightRequest{Fingerprint: f.fingerprint, Organisation: f.org, Attempt: quarantine.CallerAttemptOf(f.ask.Request), Alone: f.alone}
+// inFlightRequest describes the request for the detection of requests that crash upstreams.
+func (f *callerRequest) inFlightRequest() quarantine.InFlightRequest {
+	return quarantine.InFlightRequest{Fingerprint: f.fingerprint, Organisation: f.organisation, Attempt: quarantine.CallerAttemptOf(f.meta.Request), Alone: f.exclusive}
 }
 
-// at is the start of the upstream that the request was sent to.
-func (t *attempt) at() quarantine.Incarnation {
+// upstreamIncarnation identifies the process lifetime of the upstream that the request was sent to.
+func (t *attempt) upstreamIncarnation() quarantine.Incarnation {
 	return quarantine.Incarnation{Address: t.choice.Address, Instance: t.choice.Instance, Born: t.choice.Incarnation}
 }
 
-// left notes that the request was given up at its upstream, which may begin it all the same.
-func (t *attempt) left() {
-	t.flight.gateway.witness.RequestAbandoned(t.at(), t.flight.presence())
+// reportAbandoned records that the request was given up at its upstream, which may begin it nevertheless.
+func (t *attempt) reportAbandoned() {
+	t.request.gateway.crashDetector.RequestAbandoned(t.upstreamIncarnation(), t.request.inFlightRequest())
 }
 
-// ended says whether an upstream's process has ended: its VM refuses connections. One that is silent may be cut off,
-// frozen or without power, and no request does that.
-func (g *Gateway) ended(ctx context.Context, s quarantine.Incarnation) (ended, known bool) {
-	return g.pool.ProbeRefused(ctx, s.Address, s.Born)
+// upstreamEnded reports whether an upstream's process has ended, that is, whether its VM refuses connections. An
+// upstream that does not respond may be partitioned, frozen or without power, which no request causes.
+func (g *Gateway) upstreamEnded(ctx context.Context, s quarantine.Incarnation) (ended, known bool) {
+	return g.connections.ProbeRefused(ctx, s.Address, s.Born)
 }
 
-// flights are the requests under way, by fingerprint.
-type flights struct {
-	mu sync.Mutex
-	of map[quarantine.Fingerprint]map[*flight]struct{}
+// requestRegistry holds the requests in flight by fingerprint.
+type requestRegistry struct {
+	mu            sync.Mutex
+	byFingerprint map[quarantine.Fingerprint]map[*callerRequest]struct{}
 }
 
-func newFlights() *flights {
-	return &flights{of: map[quarantine.Fingerprint]map[*flight]struct{}{}}
+func newRequestRegistry() *requestRegistry {
+	return &requestRegistry{byFingerprint: map[quarantine.Fingerprint]map[*callerRequest]struct{}{}}
 }
 
-// add notes a request, unless it is to be alone and is not.
-func (l *flights) add(f *flight) bool {
+// add registers a request. It returns false if the request must run alone and another one with its fingerprint is
+// in flight.
+func (l *requestRegistry) add(f *callerRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	same := l.of[f.fingerprint]
-	if f.alone && len(same) > 0 {
+	same := l.byFingerprint[f.fingerprint]
+	if f.exclusive && len(same) > 0 {
 		return false
 	}
 	if same == nil {
-		same = map[*flight]struct{}{}
-		l.of[f.fingerprint] = same
+		same = map[*callerRequest]struct{}{}
+		l.byFingerprint[f.fingerprint] = same
 	}
 	same[f] = struct{}{}
 	return true
 }
 
-// remove notes that a request is over.
-func (l *flights) remove(f *flight) {
-	f.stop(nil)
+// remove removes a request that has ended.
+func (l *requestRegistry) remove(f *callerRequest) {
+	f.cancel(nil)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if f.over != nil {
-		f.over.Stop()
+	if f.resumeTimer != nil {
+		f.resumeTimer.Stop()
 	}
-	same := l.of[f.fingerprint]
+	same := l.byFingerprint[f.fingerprint]
 	delete(same, f)
 	if len(same) == 0 {
-		delete(l.of, f.fingerprint)
+		delete(l.byFingerprint, f.fingerprint)
 	}
 }
 
-// stop ends the requests with a fingerprint that no upstream has begun to answer: an upstream drops what waits in its
-// queue once its caller has gone.
-func (l *flights) stop(p quarantine.Fingerprint) {
+// cancelUnbegun cancels the requests with a fingerprint that no upstream has started to answer: an upstream drops a
+// queued request when its caller disconnects.
+func (l *requestRegistry) cancelUnbegun(fingerprint quarantine.Fingerprint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for f := range l.of[p] {
-		if !f.begun.Load() {
-			f.stop(errHeld)
+	for f := range l.byFingerprint[fingerprint] {
+		if !f.answerBegun.Load() {
+			f.cancel(errQuarantined)
 		}
 	}
 }
--- a/internal/gateway/decision.go
+++ b/internal/gateway/decision.go
@@ -8,82 +8,87 @@
 	"github.com/springrail/springrail/internal/placement"
 )
 
-// decision is what the newest choice for a request rested on. It goes into the log line of a request that was not
-// served, so that the line says why.
+// decision records the basis of the newest upstream selection for a request. It goes into the log line of a request
+// that was not served, to explain why.
 type decision struct {
-	out leftOut
-	// until is the latest end of the time of the versions that upstreams were left out for.
-	until time.Time
-	// nearest is the upstream that came nearest to taking the request, and wait its predicted first event for a usual
-	// request; aim is what wait and passed, the time that had gone by, were held against.
-	nearest           string
-	wait, passed, aim time.Duration
-	// age is how old the nearest upstream's report was, and known whether there was one to go by.
-	age   time.Duration
-	known bool
-	// permitDue is how long it takes until the first of the limited upstreams that were left out has a permit.
-	permitDue time.Duration
-	// restDue is how long it takes until the first of the resting upstreams that were left out takes requests again.
-	restDue time.Duration
+	excluded exclusions
+	// latestVersionEnd is the latest end of the grace periods of the versions because of which upstreams were
+	// excluded.
+	latestVersionEnd time.Time
+	// nearest is the upstream with the shortest wait, and predictedWait its predicted time to the first event of a
+	// request of usual size. It and elapsed, the time that had passed already, were compared with aim, the latency
+	// objective.
+	nearest                     string
+	predictedWait, elapsed, aim time.Duration
+	// reportAge is the age of the nearest upstream's load report, and reportKnown is false if there was none.
+	reportAge   time.Duration
+	reportKnown bool
+	// permitDueIn is the time until the first of the excluded rate-limited upstreams has a permit.
+	permitDueIn time.Duration
+	// restDueIn is the time until the first of the excluded pausing upstreams takes requests again.
+	restDueIn time.Duration
 }
 
-// noteLimited counts an upstream that was left out because of its limit.
-func (k *decision) noteLimited(due time.Duration) {
-	if k.out.limited++; k.out.limited == 1 || due < k.permitDue {
-		k.permitDue = due
+// noteLimited counts an upstream that was excluded because of its rate limit.
+func (k *decision) noteLimited(dueIn time.Duration) {
+	if k.excluded.limited++; k.excluded.limited == 1 || dueIn < k.permitDueIn {
+		k.permitDueIn = dueIn
 	}
 }
 
-// noteResting counts an upstream that was left out because it rests.
-func (k *decision) noteResting(due time.Duration) {
-	if k.out.resting++; k.out.resting == 1 || due < k.restDue {
-		k.restDue = due
+// noteResting counts an upstream that was excluded because it has asked for a pause.
+func (k *decision) noteResting(dueIn time.Duration) {
+	if k.excluded.resting++; k.excluded.resting == 1 || dueIn < k.restDueIn {
+		k.restDueIn = dueIn
 	}
 }
 
-// due is when the first upstream takes a request again that was left out for a time that is known, and why it was left
-// out; empty where none was.
-func (k *decision) due() (why string, due time.Duration) {
+// nextDue returns the time until the first upstream that was excluded for a known time takes requests again, and
+// why it was excluded; the reason is empty if there is none.
+func (k *decision) nextDue() (reason string, dueIn time.Duration) {
 	switch {
-	case k.out.limited > 0 && (k.out.resting == 0 || k.permitDue <= k.restDue):
-		return "limited", k.permitDue
-	case k.out.resting > 0:
-		return "resting", k.restDue
+	case k.excluded.limited > 0 && (k.excluded.resting == 0 || k.permitDueIn <= k.restDueIn):
+		return "limited", k.permitDueIn
+	case k.excluded.resting > 0:
+		return "resting", k.restDueIn
 	default:
 		return "", 0
 	}
 }
 
-// note keeps the end of the time of a version that an upstream was left out for.
-func (k *decision) note(until time.Time) {
-	if until.After(k.until) {
-		k.until = until
+// noteVersionEnd records the end of a version's grace period because of which an upstream was excluded.
+func (k *decision) noteVersionEnd(versionEnd time.Time) {
+	if versionEnd.After(k.latestVersionEnd) {
+		k.latestVersionEnd = versionEnd
 	}
 }
 
-// swapRetry is when a caller may come back where no upstream is left: upstreams that were left out for their older
-// version are closed, and load, when its time is over at the latest. It guards against callers that come back into the
-// same seconds of a swap.
-func (k *decision) swapRetry(now time.Time) time.Duration {
-	return max(placement.NoUpstreamRetryAfter, k.until.Sub(now))
+// retryAfterSwap returns the Retry-After where no upstream is available. Upstreams that were excluded for an older
+// version stop taking requests and load the new weights when its grace period ends at the latest. Callers that
+// retry earlier would be refused again during the same swap.
+func (k *decision) retryAfterSwap(now time.Time) time.Duration {
+	return max(placement.NoUpstreamRetryAfter, k.latestVersionEnd.Sub(now))
 }
 
-// leftOut counts the upstreams of the pool that could not be chosen, each under the first reason that held.
-type leftOut struct {
-	// leaving ones are about to end, closed ones about to load weights, down ones silent towards their stager.
+// exclusions counts the upstreams of the pool that could not be chosen, each under the first reason that applied.
+type exclusions struct {
+	// leaving counts upstreams that are draining, closed those about to load weights, down those that do not respond
+	// to their stager.
 	leaving, closed, down int
-	// empty ones serve no version of the model; over ones serve one whose time ends before the request would begin,
-	// queued ones such a version behind a link on which a request may wait for longer than is known; other ones not the
-	// version that the stream began with.
+	// empty counts upstreams that serve no version of the model. over counts those whose version's grace period ends
+	// before the request would begin, queued those where the same holds because requests may queue on the link for an
+	// unknown time, and other those that serve another version than the stream began with.
 	empty, over, queued, other int
-	// suspect ones have failed lately, narrow ones are behind a link on which requests queue: both are last resorts.
+	// suspect counts upstreams with recent failures, narrow those behind a link on which requests queue. Both are
+	// chosen as a last resort only.
 	suspect, narrow int
-	// tried ones have had this request, limited ones have no permit for it, resting ones want none of this gateway for now.
+	// tried counts upstreams that have had this request, limited those without a permit for it, resting those that
+	// have asked this gateway to pause.
 	tried, limited, resting int
 }
 
-// note counts what of the candidates is no first choice.
-func (o *leftOut) note(c *placement.Candidate, tried bool) {
+// countCandidate counts a candidate that is not a first choice.
+func (o *exclusions) countCandidate(c *placement.Candidate, tried bool) {
 	switch {
 	case tried:
 		o.tried++
@@ -94,8 +99,8 @@
 	}
 }
 
-// MarshalObject implements log.ObjectMarshaler; reasons that no upstream was left out for are not written.
-func (o *leftOut) MarshalObject(e *log.Entry) {
+// MarshalObject implements log.ObjectMarshaler; reasons with a count of 0 are omitted.
+func (o *exclusions) MarshalObject(e *log.Entry) {
 	for _, r := range []struct {
 		name string
 		n    int
@@ -119,23 +124,23 @@
 	}
 }
 
-// log adds the decision to a request's line.
+// log adds the decision to the request's log line.
 func (k *decision) log(e *log.Entry) {
-	if k.out != (leftOut{}) {
-		e.Object("left_out", &k.out)
+	if k.excluded != (exclusions{}) {
+		e.Object("left_out", &k.excluded)
 	}
-	if k.out.limited > 0 {
-		e.Int64("permit_due_ms", k.permitDue.Milliseconds())
+	if k.excluded.limited > 0 {
+		e.Int64("permit_due_ms", k.permitDueIn.Milliseconds())
 	}
-	if k.out.resting > 0 {
-		e.Int64("rest_due_ms", k.restDue.Milliseconds())
+	if k.excluded.resting > 0 {
+		e.Int64("rest_due_ms", k.restDueIn.Milliseconds())
 	}
 	if k.nearest == "" {
 		return
 	}
-	e.Str("nearest", k.nearest).Int64("wait_ms", k.wait.Milliseconds()).Int64("passed_ms", k.passed.Milliseconds()).
+	e.Str("nearest", k.nearest).Int64("wait_ms", k.predictedWait.Milliseconds()).Int64("passed_ms", k.elapsed.Milliseconds()).
 		Int64("aim_ms", k.aim.Milliseconds())
-	if k.known {
-		e.Int64("report_age_ms", k.age.Milliseconds())
+	if k.reportKnown {
+		e.Int64("report_age_ms", k.reportAge.Milliseconds())
 	}
 }
--- a/internal/gateway/decision_test.go
+++ b/internal/gateway/decision_test.go
@@ -16,7 +16,7 @@
 	"github.com/springrail/springrail/internal/placement"
 )
 
-// refusalLine is what a refused request's log line holds.
+// refusalLine holds the evaluated fields of a refused request's log line.
 type refusalLine struct {
 	Why         string         `json:"why"`
 	LeftOut     map[string]int `json:"left_out"`
@@ -29,10 +29,10 @@
 
 var _ = Describe("the log line of a refused request", func() {
 	var b *testbed
-	var out bytes.Buffer
-	lines := func() refusalLine {
+	var logOutput bytes.Buffer
+	loggedLine := func() refusalLine {
 		var l refusalLine
-		Expect(json.Unmarshal(out.Bytes(), &l)).To(Succeed())
+		Expect(json.Unmarshal(logOutput.Bytes(), &l)).To(Succeed())
 		return l
 	}
 	ask := func() {
@@ -45,44 +45,44 @@
 		a.Body.Close()
 		Expect(a.StatusCode).To(Equal(http.StatusServiceUnavailable))
 	}
-	instance := func(name string, f func(i *facts.Instance)) {
+	addInstance := func(name string, f func(i *facts.Instance)) {
 		i := &facts.Instance{ID: id.Instance(name), Pool: "engines", Address: name, Domain: "d", Slots: 4, Held: []facts.Held{{Model: "m", Revision: 1}}}
 		f(i)
 		b.facts.SetInstance(i)
 	}
 
 	BeforeEach(func() {
-		out.Reset()
+		logOutput.Reset()
 		b = newTestbed(route(catalog.Streaming, "engines"))
-		b.gateway.log = &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: &out}}
+		b.gateway.log = &log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: &logOutput}}
 	})
 
-	It("counts why each upstream was left out", func() {
+	It("counts the reasons why upstreams were excluded", func() {
 		for n, f := range map[string]func(i *facts.Instance){
 			"a": func(i *facts.Instance) { i.Leaving = true },
 			"b": func(i *facts.Instance) { i.Held = nil },
 			"c": func(*facts.Instance) {},
 			"d": func(*facts.Instance) {},
 		} {
-			instance(n, f)
+			addInstance(n, f)
 		}
 		b.tracker.SetReport("c", placement.LoadReport{Closed: true, ReceivedAt: time.Now()})
 		b.tracker.SetReport("d", placement.LoadReport{Down: true, ReceivedAt: time.Now()})
 		ask()
-		l := lines()
+		l := loggedLine()
 		Expect(l.Why).To(Equal("no upstream"))
 		Expect(l.LeftOut).To(Equal(map[string]int{"leaving": 1, "empty": 1, "closed": 1, "down": 1}))
 		Expect(l.Nearest).To(BeEmpty())
 		Expect(l.RetryMs).To(BeNumerically(">", 0))
 	})
 
-	It("names the upstream that came nearest, its wait, the aim and the age of its report", func() {
-		instance("a", func(*facts.Instance) {})
+	It("names the upstream with the shortest wait, that wait, the latency objective and the age of its report", func() {
+		addInstance("a", func(*facts.Instance) {})
 		b.tracker.SetReport("a", placement.LoadReport{
 			Running: 4, Waiting: 400, ReceivedAt: time.Now(), Held: []facts.Held{{Model: "m", Revision: 1}},
 		})
 		ask()
-		l := lines()
+		l := loggedLine()
 		Expect(l.Why).To(Equal("too busy"))
 		Expect(l.Nearest).To(Equal("a"))
 		Expect(l.AimMs).To(Equal(int64(1000)))
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -1,5 +1,6 @@
-// Package gateway passes callers' requests on to upstreams by route. It decides who may call, which upstream takes a
-// request, what is refused early, what may be sent again, and how an answer reaches its caller whole.
+// Package gateway is a reverse proxy that forwards callers' requests to upstreams by route. It authenticates
+// callers, selects upstreams, sheds load early, bounds retries, and makes sure that a caller can tell a complete
+// response from a truncated one.
 package gateway
 
 import (
@@ -10,59 +11,59 @@
 	"github.com/springrail/springrail/internal/throttle"
 )
 
-// RequestMeta is what a caller says of its request beside method, path and body.
+// RequestMeta holds what a caller states in the request header.
 type RequestMeta struct {
 	Request id.Request
-	// Key is the caller's key, or empty.
+	// Key is the caller's API key; empty for none.
 	Key string
-	// Timeout is how long the caller waits; 0 where it does not say.
+	// Timeout is how long the caller waits; 0 if not stated.
 	Timeout time.Duration
 	Model   id.Model
-	// PromptTokens is in tokens.
+	// PromptTokens is the length of the prompt in tokens.
 	PromptTokens float64
 }
 
-// ForwardMeta is what the gateway tells an upstream.
+// ForwardMeta holds what the gateway adds to the header of a request that it sends to an upstream.
 type ForwardMeta struct {
 	Instance     id.Instance
 	Organisation id.Organisation
-	// Timeout is how long the answer may take.
+	// Timeout is how long the response may take.
 	Timeout time.Duration
-	// Revision is the version that must be served; 0 leaves it to the upstream.
+	// Revision is the version that must serve the request; 0 for any.
 	Revision id.Revision
-	// LastEventID is the last event that the caller has; empty for none.
+	// LastEventID is the ID of the last event that the caller has received; empty for none.
 	LastEventID string
 }
 
-// ResponseMeta is what the header of an answer says beside its status.
+// ResponseMeta holds what an upstream states in the response header.
 type ResponseMeta struct {
-	// NotRun says that the upstream did not run the request and never will.
+	// NotRun is true if the upstream did not run the request and never will.
 	NotRun bool
-	// Revision is the version that the answer is made with; 0 where it does not say.
+	// Revision is the version that produced the response; 0 if not stated.
 	Revision id.Revision
-	// Limit is what the answer says of the upstream's limit.
+	// Limit is the upstream's rate limit as stated in the response.
 	Limit throttle.LimitInfo
-	// Leaving says that the upstream is about to end.
+	// Leaving is true if the upstream is draining.
 	Leaving bool
-	// Rest is how long the upstream wants no further request from this gateway; 0 where it does not say.
+	// Rest is the pause for which the upstream asks this gateway to send no requests; 0 if not stated.
 	Rest time.Duration
 }
 
-// Dialect translates headers between the product and the platform.
+// Dialect translates between the header fields of a platform and those that the gateway uses.
 type Dialect struct {
-	// ReadRequest returns what a caller asks.
+	// ReadRequest parses the header of a caller's request.
 	ReadRequest func(h http.Header) RequestMeta
-	// PrepareHeader changes a copy of the caller's header into that of a send.
+	// PrepareHeader turns a copy of the caller's header into the header that is sent to an upstream.
 	PrepareHeader func(h http.Header, s ForwardMeta)
-	// ReadResponse reads an upstream's answer.
+	// ReadResponse parses the status and header of an upstream's response.
 	ReadResponse func(status int, h http.Header) ResponseMeta
-	// PromisesNotRun says whether a status promises a caller that its request was not run.
+	// PromisesNotRun reports whether a status assures a caller that its request was not run.
 	PromisesNotRun func(status int) bool
-	// SetRetryAfter sets when a refused caller may come back.
+	// SetRetryAfter sets the header field that tells a refused caller when to retry.
 	SetRetryAfter func(h http.Header, d time.Duration)
-	// ResponseMatches says whether an answer belongs to a request.
+	// ResponseMatches reports whether a response belongs to a request.
 	ResponseMatches func(request, answer http.Header) bool
 }
 
-// DialectPart is the name of the part that gives the Dialect.
+// DialectPart is the name of the part that provides the Dialect.
 const DialectPart = "dialect"
--- a/internal/gateway/events.go
+++ b/internal/gateway/events.go
@@ -5,76 +5,76 @@
 	"strconv"
 )
 
-// events cuts a stream into whole events and knows the last one that was passed on.
-type events struct {
-	// last is the id of the last whole event passed on; empty before the first.
-	last string
-	// passed is the number of whole events passed on.
-	passed  int
-	pending []byte
+// eventSplitter splits a stream into whole server-sent events and tracks the last one that was forwarded.
+type eventSplitter struct {
+	// lastID is the ID of the last event that was forwarded whole; empty before the first.
+	lastID string
+	// forwarded is the number of events that were forwarded whole.
+	forwarded    int
+	partialEvent []byte
 }
 
-// idField begins the line of an event's id.
-var idField = []byte("id:")
+// eventIDPrefix starts the line with an event's ID.
+var eventIDPrefix = []byte("id:")
 
-// restart drops what an upstream left of an event; the next one sends it whole.
-func (e *events) restart() {
-	e.pending = e.pending[:0]
+// dropPartial drops the incomplete event of an interrupted stream; the next upstream sends it whole.
+func (e *eventSplitter) dropPartial() {
+	e.partialEvent = e.partialEvent[:0]
 }
 
-// partial says whether an event has begun and not ended.
-func (e *events) partial() bool {
-	return len(bytes.TrimSpace(e.pending)) > 0
+// hasPartial reports whether an event has begun and not ended.
+func (e *eventSplitter) hasPartial() bool {
+	return len(bytes.TrimSpace(e.partialEvent)) > 0
 }
 
-// feed takes bytes and returns those that may go out: all of them where the stream can't be continued elsewhere, else
-// whole events that the caller does not have.
-func (e *events) feed(b []byte, whole bool) []byte {
-	if !whole {
+// feed takes received bytes and returns those that may be forwarded: all of them if the stream cannot be continued
+// by another upstream, otherwise whole events that the caller does not have.
+func (e *eventSplitter) feed(b []byte, wholeEvents bool) []byte {
+	if !wholeEvents {
 		return b
 	}
-	e.pending = append(e.pending, b...)
+	e.partialEvent = append(e.partialEvent, b...)
 	var out []byte
 	for {
-		n := eventEnd(e.pending)
+		n := eventLength(e.partialEvent)
 		if n == 0 {
 			return out
 		}
-		event := e.pending[:n]
+		event := e.partialEvent[:n]
 		if id := eventID(event); id == "" || e.isNew(id) {
 			out = append(out, event...)
-			e.passed++
+			e.forwarded++
 			if id != "" {
-				e.last = id
+				e.lastID = id
 			}
 		}
-		e.pending = e.pending[n:]
+		e.partialEvent = e.partialEvent[n:]
 	}
 }
 
-// isNew says whether an event comes after the last one. Ids that are no numbers are taken as they come.
-func (e *events) isNew(id string) bool {
+// isNew reports whether an event follows the last one. IDs that are not numbers always count as new.
+func (e *eventSplitter) isNew(id string) bool {
 	n, err := strconv.ParseUint(id, 10, 64)
-	m, err2 := strconv.ParseUint(e.last, 10, 64)
+	m, err2 := strconv.ParseUint(e.lastID, 10, 64)
 	return err != nil || err2 != nil || n > m
 }
 
-// eventEnd is the length of the first event with its empty line, or 0 where it is not whole.
-func eventEnd(b []byte) int {
+// eventLength returns the length of the first event including its terminating empty line, or 0 if it is incomplete.
+func eventLength(b []byte) int {
 	n := 0
-	for _, end := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
-		if i := bytes.Index(b, end); i >= 0 && (n == 0 || i+len(end) < n) {
-			n = i + len(end)
+	for _, terminator := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
+		if i := bytes.Index(b, terminator); i >= 0 && (n == 0 || i+len(terminator) < n) {
+			n = i + len(terminator)
 		}
 	}
 	return n
 }
 
-// eventID returns the id that an event names, or nothing.
+// eventID returns the ID in an event; empty for none.
 func eventID(event []byte) string {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
-		if bytes.HasPrefix(line, idField) {
-			return string(bytes.TrimSpace(line[len(idField):]))
+		if bytes.HasPrefix(line, eventIDPrefix) {
+			return string(bytes.TrimSpace(line[len(eventIDPrefix):]))
 		}
 	}
 	return ""
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -31,26 +31,26 @@
 	spec.Run(t, "The gateway")
 }
 
-// The headers of the dialect that these specs speak.
+// The header fields of the dialect in these tests.
 const (
-	xRequest  = "X-Request"
-	xKey      = "X-Key"
-	xWait     = "X-Wait-Ms"
-	xModel    = "X-Model"
-	xInstance = "X-Instance"
-	xOrg      = "X-Org"
-	xAfter    = "X-After"
-	xRevision = "X-Revision"
-	xNotRun   = "X-Not-Run"
-	xRetry    = "X-Retry-Ms"
-	xLeaving  = "X-Leaving"
-	xRest     = "X-Rest-Ms"
+	xRequest      = "X-Request"
+	xKey          = "X-Key"
+	xTimeout      = "X-Wait-Ms"
+	xModel        = "X-Model"
+	xInstance     = "X-Instance"
+	xOrganisation = "X-Org"
+	xLastEventID  = "X-After"
+	xRevision     = "X-Revision"
+	xNotRun       = "X-Not-Run"
+	xRetry        = "X-Retry-Ms"
+	xLeaving      = "X-Leaving"
+	xRest         = "X-Rest-Ms"
 )
 
 func testDialect() *Dialect {
 	return &Dialect{
 		ReadRequest: func(h http.Header) RequestMeta {
-			ms, _ := strconv.Atoi(h.Get(xWait))
+			ms, _ := strconv.Atoi(h.Get(xTimeout))
 			return RequestMeta{
 				Request: id.Request(h.Get(xRequest)), Key: h.Get(xKey), Model: id.Model(h.Get(xModel)),
 				Timeout: time.Duration(ms) * time.Millisecond, PromptTokens: 100,
@@ -59,10 +59,10 @@
 		PrepareHeader: func(h http.Header, s ForwardMeta) {
 			h.Del(xKey)
 			h.Set(xInstance, string(s.Instance))
-			h.Set(xOrg, string(s.Organisation))
-			h.Set(xWait, strconv.FormatInt(s.Timeout.Milliseconds(), 10))
+			h.Set(xOrganisation, string(s.Organisation))
+			h.Set(xTimeout, strconv.FormatInt(s.Timeout.Milliseconds(), 10))
 			if s.LastEventID != "" {
-				h.Set(xAfter, s.LastEventID)
+				h.Set(xLastEventID, s.LastEventID)
 			}
 		},
 		ReadResponse: func(_ int, h http.Header) ResponseMeta {
@@ -79,22 +79,22 @@
 	}
 }
 
-// testbed is a gateway with upstreams that a spec plays.
+// testbed is a gateway whose upstreams are scripted by a test.
 type testbed struct {
-	gateway *Gateway
-	facts   *facts.Facts
-	tracker *placement.Tracker
-	list    *quarantine.SuspectTracker
-	server  *httptest.Server
-	mu      sync.Mutex
-	arrived map[string][]string
+	gateway  *Gateway
+	facts    *facts.Facts
+	tracker  *placement.Tracker
+	list     *quarantine.SuspectTracker
+	server   *httptest.Server
+	mu       sync.Mutex
+	arrivals map[string][]string
 }
 
 func newTestbed(routes ...*catalog.Route) *testbed {
 	return newTestbedAt(time.Now, routes...)
 }
 
-// newTestbedAt makes a gateway that goes by a clock.
+// newTestbedAt returns a testbed whose gateway uses the given clock.
 func newTestbedAt(now func() time.Time, routes ...*catalog.Route) *testbed {
 	f := facts.New(now)
 	services := []*catalog.Service{{Name: "plain"}, {Name: "engines", Engine: &catalog.Engine{
@@ -102,32 +102,32 @@
 	}}}
 	orgs := []*catalog.Organisation{{Name: "gym", Keys: []string{"secret"}}}
 	f.SetCatalog(catalog.New(7, routes, services, orgs, catalog.Limits{HeaderBytes: 2000, BodyBytes: 1000}))
-	b := &testbed{facts: f, tracker: placement.NewTracker(now), arrived: map[string][]string{}}
+	b := &testbed{facts: f, tracker: placement.NewTracker(now), arrivals: map[string][]string{}}
 	dial := (&net.Dialer{Timeout: time.Second}).DialContext
-	quiet := &log.Logger{Level: log.PanicLevel}
+	discard := &log.Logger{Level: log.PanicLevel}
 	load := LoadSources{
 		Tracker: b.tracker, Offers: placement.NewDemandMeter(time.Now), Gateways: func() int { return 1 },
 		Permits: PermitClient{Acquire: func(context.Context, string, id.Birth) (uint64, bool) { return 1, true }},
 		Demand:  func(id.Pool) placement.Demand { return placement.Demand{} },
 	}
-	q := unsuspecting()
+	q := emptyQuarantine()
 	b.list = q.Suspects
-	b.gateway = New(NewSettings(), testDialect(), f, load, q, dial, "d", quiet)
+	b.gateway = New(NewSettings(), testDialect(), f, load, q, dial, "d", discard)
 	b.gateway.now = now
 	b.server = httptest.NewServer(b.gateway)
 	DeferCleanup(b.server.Close)
 	return b
 }
 
-// unsuspecting is a quarantine that hears of nothing from other gateways.
-func unsuspecting() *quarantine.Quarantine {
+// emptyQuarantine returns a quarantine that receives nothing from other gateways.
+func emptyQuarantine() *quarantine.Quarantine {
 	return &quarantine.Quarantine{
 		Suspects:  quarantine.NewSuspectTracker("vm", time.Now, &log.Logger{Level: log.PanicLevel}),
 		Broadcast: func(quarantine.CrashNews) {},
 	}
 }
 
-// route makes a public route to a pool.
+// route returns a public route to a pool.
 func route(kind catalog.Kind, pool id.Pool) *catalog.Route {
 	return &catalog.Route{
 		Name: "r", Host: "h.example", PathPrefix: "/p/", Kind: kind, Timeout: 2 * time.Second, Aim: time.Second,
@@ -135,8 +135,8 @@
 	}
 }
 
-// upstream adds an upstream whose connections are played by hand after the request has been read.
-func (b *testbed) upstream(name string, pool id.Pool, play func(q *http.Request, body string, c net.Conn)) {
+// addUpstream adds an upstream that calls play for each request it has read.
+func (b *testbed) addUpstream(name string, pool id.Pool, play func(q *http.Request, body string, c net.Conn)) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(l.Close)
@@ -146,7 +146,7 @@
 			if err != nil {
 				return
 			}
-			go b.play(name, c, play)
+			go b.serveConn(name, c, play)
 		}
 	}()
 	b.facts.SetInstance(&facts.Instance{
@@ -155,7 +155,7 @@
 	})
 }
 
-func (b *testbed) play(name string, c net.Conn, play func(q *http.Request, body string, c net.Conn)) {
+func (b *testbed) serveConn(name string, c net.Conn, play func(q *http.Request, body string, c net.Conn)) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -165,7 +165,7 @@
 		}
 		body, _ := io.ReadAll(q.Body)
 		b.mu.Lock()
-		b.arrived[q.Header.Get(xRequest)] = append(b.arrived[q.Header.Get(xRequest)], name)
+		b.arrivals[q.Header.Get(xRequest)] = append(b.arrivals[q.Header.Get(xRequest)], name)
 		b.mu.Unlock()
 		play(q, string(body), c)
 		if q.Header.Get("X-Hang-Up") != "" {
@@ -174,21 +174,21 @@
 	}
 }
 
-// runs is the number of upstreams that a request arrived at.
-func (b *testbed) runs(request string) int {
+// upstreamCount returns the number of upstreams that received a request.
+func (b *testbed) upstreamCount(request string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return len(b.arrived[request])
+	return len(b.arrivals[request])
 }
 
-// reply writes a whole answer.
+// reply writes a complete response.
 func reply(c net.Conn, q *http.Request, status int, extra, body string) {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 %d x\r\n%s: %s\r\nContent-Length: %d\r\n%s\r\n%s",
 		status, xRequest, q.Header.Get(xRequest), len(body), extra, body)
 }
 
-// ask sends a caller's request; header fields come in pairs.
-func (b *testbed) ask(method, path, body string, fields ...string) (*http.Response, string, error) {
+// sendRequest sends a caller's request. The header fields are pairs of a name and a value.
+func (b *testbed) sendRequest(method, path, body string, fields ...string) (*http.Response, string, error) {
 	q, err := http.NewRequest(method, b.server.URL+path, strings.NewReader(body))
 	Expect(err).NotTo(HaveOccurred())
 	q.Host = "h.example"
@@ -206,141 +206,141 @@
 }
 
 var _ = Describe("a request", func() {
-	It("reaches its upstream unchanged, with the gateway's word on who asks", func() {
+	It("reaches its upstream unchanged, with the caller's organisation as set by the gateway", func() {
 		r := route(catalog.Unsafe, "plain")
 		r.Public = false
 		b := newTestbed(r)
-		b.upstream("u", "plain", func(q *http.Request, body string, c net.Conn) {
-			reply(c, q, 200, "X-Seal: s\r\n", q.Method+" "+q.RequestURI+" "+body+" "+q.Header.Get(xOrg)+q.Header.Get(xKey)+q.Header.Get("X-Drop")+" "+q.Host)
+		b.addUpstream("u", "plain", func(q *http.Request, body string, c net.Conn) {
+			reply(c, q, 200, "X-Seal: s\r\n", q.Method+" "+q.RequestURI+" "+body+" "+q.Header.Get(xOrganisation)+q.Header.Get(xKey)+q.Header.Get("X-Drop")+" "+q.Host)
 		})
-		a, body, err := b.ask("POST", "/p/a%2Fb?q=%20x", "hello", xKey, "secret", xOrg, "rival", "Connection", "X-Drop", "X-Drop", "1")
+		a, body, err := b.sendRequest("POST", "/p/a%2Fb?q=%20x", "hello", xKey, "secret", xOrganisation, "rival", "Connection", "X-Drop", "X-Drop", "1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(Equal("POST /p/a%2Fb?q=%20x hello gym h.example"))
 		Expect(a.Header.Get("X-Seal")).To(Equal("s"))
 	})
 
-	DescribeTable("is turned away without an upstream", func(status int, path, body string, fields ...string) {
+	DescribeTable("is refused without being sent to an upstream", func(status int, path, body string, fields ...string) {
 		r := route(catalog.Unsafe, "plain")
 		r.Public = false
 		b := newTestbed(r)
-		b.upstream("u", "plain", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 200, "", "") })
-		a, _, err := b.ask("POST", path, body, fields...)
+		b.addUpstream("u", "plain", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 200, "", "") })
+		a, _, err := b.sendRequest("POST", path, body, fields...)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(status))
-		Expect(b.runs("1")).To(BeZero())
+		Expect(b.upstreamCount("1")).To(BeZero())
 	},
 		Entry("no route", 404, "/other/", "", xKey, "secret"), Entry("no key", 401, "/p/", ""),
 		Entry("another key", 401, "/p/", "", xKey, "guess"), Entry("long body", 413, "/p/", strings.Repeat("x", 1001), xKey, "secret"),
-		Entry("long head", 431, "/p/", "", xKey, "secret", "X-Long", strings.Repeat("x", 2000)))
+		Entry("long header", 431, "/p/", "", xKey, "secret", "X-Long", strings.Repeat("x", 2000)))
 
-	It("is counted as one that went beyond the failure domain where it did, as the views of upstreams there rest on it", func() {
+	It("is counted as sent to a remote failure domain if it was, as the load estimates for upstreams there depend on it", func() {
 		b := newTestbed(route(catalog.Unsafe, "engines"))
-		b.upstream("u", "engines", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 200, "", "ran") })
-		_, _, err := b.ask("POST", "/p/", "x", xModel, "m")
+		b.addUpstream("u", "engines", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 200, "", "ran") })
+		_, _, err := b.sendRequest("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(b.gateway.load.Offers.CrossDomain.Total()).To(BeZero())
+		Expect(b.gateway.loadSources.Offers.CrossDomain.Total()).To(BeZero())
 		i := *b.facts.Instances()[0]
 		i.Domain = "elsewhere"
 		i.ListPosition++
 		b.facts.SetInstance(&i)
-		_, _, err = b.ask("POST", "/p/", "x", xModel, "m", xRequest, "2")
+		_, _, err = b.sendRequest("POST", "/p/", "x", xModel, "m", xRequest, "2")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(b.gateway.load.Offers.CrossDomain.Total()).NotTo(BeZero())
+		Expect(b.gateway.loadSources.Offers.CrossDomain.Total()).NotTo(BeZero())
 	})
 
-	It("is promised not to have run where there is no upstream, with a time to come back", func() {
+	It("is reported as not run, with a retry time, if there is no upstream", func() {
 		b := newTestbed(route(catalog.Unsafe, "plain"))
-		a, _, err := b.ask("POST", "/p/", "x")
+		a, _, err := b.sendRequest("POST", "/p/", "x")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(503))
 		Expect(a.Header.Get(xRetry)).NotTo(BeEmpty())
 	})
 
-	It("is not run a second time after its upstream broke off, and is not promised to be unrun", func() {
+	It("is not run a second time after its upstream broke off, and not reported as not run", func() {
 		b := newTestbed(route(catalog.Unsafe, "plain"))
 		for _, n := range []string{"u", "v"} {
-			b.upstream(n, "plain", func(*http.Request, string, net.Conn) {})
+			b.addUpstream(n, "plain", func(*http.Request, string, net.Conn) {})
 		}
-		a, _, err := b.ask("POST", "/p/", "x", "X-Hang-Up", "1")
+		a, _, err := b.sendRequest("POST", "/p/", "x", "X-Hang-Up", "1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(502))
-		Expect(b.runs("1")).To(Equal(1))
+		Expect(b.upstreamCount("1")).To(Equal(1))
 	})
 
-	It("goes to another upstream where the first proved that it did not run it", func() {
+	It("is sent to another upstream if the first one proved that it did not run it", func() {
 		b := newTestbed(route(catalog.Unsafe, "plain"))
-		var first sync.Once
+		var firstRequest sync.Once
 		for _, n := range []string{"u", "v"} {
-			b.upstream(n, "plain", func(q *http.Request, _ string, c net.Conn) {
+			b.addUpstream(n, "plain", func(q *http.Request, _ string, c net.Conn) {
 				refused := false
-				first.Do(func() { refused = true; reply(c, q, 503, xNotRun+": 1\r\n", "") })
+				firstRequest.Do(func() { refused = true; reply(c, q, 503, xNotRun+": 1\r\n", "") })
 				if !refused {
 					reply(c, q, 200, "", "ran")
 				}
 			})
 		}
-		a, body, err := b.ask("POST", "/p/", "x")
+		a, body, err := b.sendRequest("POST", "/p/", "x")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(200))
 		Expect(body).To(Equal("ran"))
-		Expect(b.runs("1")).To(Equal(2))
+		Expect(b.upstreamCount("1")).To(Equal(2))
 	})
 
-	It("that its upstream calls unrun without proof is not promised to its caller", func() {
+	It("is not reported as not run if its upstream states that without proof", func() {
 		b := newTestbed(route(catalog.Unsafe, "plain"))
-		b.upstream("u", "plain", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 503, "", "") })
-		a, _, err := b.ask("POST", "/p/", "x")
+		b.addUpstream("u", "plain", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 503, "", "") })
+		a, _, err := b.sendRequest("POST", "/p/", "x")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(502))
 	})
 
-	It("that is safe is asked again after a failure, within the route's attempts", func() {
+	It("is retried after a failure if it is safe, within the route's attempts", func() {
 		b := newTestbed(route(catalog.Safe, "plain"))
 		for _, n := range []string{"u", "v", "w"} {
-			b.upstream(n, "plain", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 500, "", "bad") })
+			b.addUpstream(n, "plain", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 500, "", "bad") })
 		}
-		a, _, err := b.ask("GET", "/p/", "")
+		a, _, err := b.sendRequest("GET", "/p/", "")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(500))
-		Expect(b.runs("1")).To(Equal(2))
+		Expect(b.upstreamCount("1")).To(Equal(2))
 	})
 
-	It("is answered at its route's time", func() {
+	It("is answered when its route times out", func() {
 		r := route(catalog.Unsafe, "plain")
 		r.Timeout = 100 * time.Millisecond
 		b := newTestbed(r)
-		b.upstream("u", "plain", func(*http.Request, string, net.Conn) { time.Sleep(time.Second) })
+		b.addUpstream("u", "plain", func(*http.Request, string, net.Conn) { time.Sleep(time.Second) })
 		start := time.Now()
-		a, _, err := b.ask("POST", "/p/", "x", xWait, "5000")
+		a, _, err := b.sendRequest("POST", "/p/", "x", xTimeout, "5000")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(504))
 		Expect(time.Since(start)).To(BeNumerically("<", 400*time.Millisecond))
 	})
 
-	It("ends at its upstream within half a second of its caller's leaving", func() {
+	It("is cancelled at its upstream within half a second after its caller disconnects", func() {
 		b := newTestbed(route(catalog.Unsafe, "plain"))
-		gone := make(chan struct{}, 1)
-		b.upstream("u", "plain", func(_ *http.Request, _ string, c net.Conn) {
+		disconnected := make(chan struct{}, 1)
+		b.addUpstream("u", "plain", func(_ *http.Request, _ string, c net.Conn) {
 			_, _ = c.Read(make([]byte, 1))
-			gone <- struct{}{}
+			disconnected <- struct{}{}
 		})
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		q, _ := http.NewRequestWithContext(ctx, http.MethodPost, b.server.URL+"/p/", strings.NewReader("x"))
 		q.Host = "h.example"
-		left := time.AfterFunc(100*time.Millisecond, leave)
-		defer left.Stop()
+		timer := time.AfterFunc(100*time.Millisecond, disconnect)
+		defer timer.Stop()
 		_, err := http.DefaultClient.Do(q)
 		Expect(err).To(HaveOccurred())
-		Eventually(gone).WithTimeout(500 * time.Millisecond).Should(Receive())
+		Eventually(disconnected).WithTimeout(500 * time.Millisecond).Should(Receive())
 	})
 })
 
-var _ = Describe("an upstream that takes no connection", func() {
-	It("costs its requests no more than the time to find out: they go on late rather than not at all", func() {
+var _ = Describe("an upstream that does not accept connections", func() {
+	It("delays its requests only until the dial fails: they are served late rather than refused", func() {
 		r := route(catalog.Streaming, "engines")
-		r.Aim = 400 * time.Millisecond // far above what a busy machine adds to the prediction, 8 times 7 ms
+		r.Aim = 400 * time.Millisecond // far above what a busy machine adds to the prediction: 8 times 7 ms
 		b := newTestbed(r)
-		b.upstream("v", "engines", func(q *http.Request, _ string, c net.Conn) {
+		b.addUpstream("v", "engines", func(q *http.Request, _ string, c net.Conn) {
 			stream(c, q, xRevision+": 1\r\n", "id: 1\ndata: a\n\n")
 			_, _ = io.WriteString(c, "0\r\n\r\n")
 		})
@@ -356,7 +356,7 @@
 			b.tracker.SetReport(i.Address, l)
 		}
 		dial := (&net.Dialer{}).DialContext
-		b.gateway.pool = upconn.New(func(ctx context.Context, network, address string) (net.Conn, error) {
+		b.gateway.connections = upconn.New(func(ctx context.Context, network, address string) (net.Conn, error) {
 			if address == dead {
 				time.Sleep(2 * r.Aim)
 				return nil, io.ErrUnexpectedEOF
@@ -364,7 +364,7 @@
 			return dial(ctx, network, address)
 		}, time.Now, testDialect().ResponseMatches)
 		for i := range 20 {
-			a, _, err := b.ask("POST", "/p/", "x", xModel, "m", xRequest, strconv.Itoa(i))
+			a, _, err := b.sendRequest("POST", "/p/", "x", xModel, "m", xRequest, strconv.Itoa(i))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(a.StatusCode).To(Equal(200))
 		}
--- a/internal/gateway/header.go
+++ b/internal/gateway/header.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// connectionFields concern one connection and are not passed on (RFC 9110, 7.6.1).
-var connectionFields = []string{
+// hopByHopHeaders apply to a single connection and are not forwarded (RFC 9110, 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Expect", "Content-Length",
 }
 
-// passOn copies a header without the fields that concern one connection.
-func passOn(h http.Header) http.Header {
+// forwardedHeader returns a copy of a header without the hop-by-hop fields.
+func forwardedHeader(h http.Header) http.Header {
 	out := make(http.Header, len(h)+4)
 	for name, values := range h {
 		out[name] = values
@@ -23,14 +23,14 @@
 			delete(out, textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(name)))
 		}
 	}
-	for _, name := range connectionFields {
+	for _, name := range hopByHopHeaders {
 		delete(out, name)
 	}
 	return out
 }
 
-// headerBytes is the size of a header as it came, but for the request line.
-func headerBytes(h http.Header) int {
+// headerSize returns the size of a header as received, without the request line.
+func headerSize(h http.Header) int {
 	n := 0
 	for name, values := range h {
 		for _, v := range values {
--- a/internal/gateway/hedge.go
+++ b/internal/gateway/hedge.go
@@ -13,288 +13,289 @@
 	"github.com/springrail/springrail/internal/quarantine"
 )
 
-// position is how far a caller's answer has come, which is where another upstream would continue it.
-type position struct {
-	headSent  bool
-	revision  id.Revision
-	lastEvent string
+// streamPosition is how far a caller's response has come, which is where another upstream would continue it.
+type streamPosition struct {
+	headSent    bool
+	revision    id.Revision
+	lastEventID string
 }
 
-func (f *flight) position() position {
-	return position{headSent: f.headSent, revision: f.revision, lastEvent: f.events.last}
+func (f *callerRequest) currentPosition() streamPosition {
+	return streamPosition{headSent: f.headSent, revision: f.revision, lastEventID: f.events.lastID}
 }
 
-// hedge is an attempt at another upstream that is made while the first one is silent. Neither is given up before the
-// other has gone on: the other upstream may be full, or silent as well.
+// hedge is a hedged attempt at another upstream while the first one is silent. Neither attempt is given up before
+// the other has made progress, as the other upstream may be full or silent as well.
 type hedge struct {
-	// flight is the request as this attempt alone sees it, and attempt nil until an upstream has been chosen.
-	flight  *flight
+	// request is the request as this attempt alone sees it, and attempt is nil until an upstream has been chosen.
+	request *callerRequest
 	attempt *attempt
 	// attemptsBefore is the number of attempts at the request before this one.
 	attemptsBefore int
-	// ready are events that the caller does not have, and end is io.EOF where the stream ends after them.
-	ready []byte
-	end   error
-	// won is true once there is something to go on with, and lost once the first attempt has gone on. Both are under
-	// the lock of that one.
+	// pendingEvents are events that the caller does not have yet, and streamEnd is io.EOF if the stream ends after
+	// them.
+	pendingEvents []byte
+	streamEnd     error
+	// won is true once the hedge has data to continue with, and lost once the first attempt has made progress. The
+	// mutex of the first attempt guards both.
 	won, lost bool
 	done      chan struct{}
 }
 
-// watch has the upstream's silence noticed after a time, where the stream may be continued elsewhere.
-func (t *attempt) watch(d time.Duration) {
-	f := t.flight
-	if f.route.Kind != catalog.Streaming || !f.route.Resumable || !f.attemptsLeft() {
+// startStallTimer starts the detection of a silent upstream, if another one may continue the stream.
+func (t *attempt) startStallTimer(d time.Duration) {
+	f := t.request
+	if f.route.Kind != catalog.Streaming || !f.route.Resumable || !f.hasAttemptsLeft() {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.watchdog = time.AfterFunc(d, t.stalled)
+	t.stallTimer = time.AfterFunc(d, t.startHedge)
 }
 
-// moved notes how far the caller's answer has come.
-func (t *attempt) moved(p position) {
+// updatePosition records how far the caller's response has come.
+func (t *attempt) updatePosition(p streamPosition) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.position, t.passing = p, false
+	t.position, t.forwarding = p, false
 }
 
-// progressed notes that the upstream has gone on, and says whether it was in time: false where another one went on before it.
-func (t *attempt) progressed() bool {
+// noteProgress records that the upstream has made progress. It returns false if the hedge has won before.
+func (t *attempt) noteProgress() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.watchdog != nil {
-		t.watchdog.Reset(eventStall)
+	if t.stallTimer != nil {
+		t.stallTimer.Reset(eventStallTimeout)
 	}
 	if h := t.hedge; h != nil {
 		if h.won {
 			return false
 		}
-		h.lose()
+		h.cancelLost()
 	}
-	t.passing = true
+	t.forwarding = true
 	return true
 }
 
-// lose ends a hedge that came too late; the caller holds the lock of the first attempt.
-func (h *hedge) lose() {
+// cancelLost cancels a hedge that came too late. The caller holds the mutex of the first attempt.
+func (h *hedge) cancelLost() {
 	h.lost = true
-	h.flight.stop(errOvertaken)
+	h.request.cancel(errOvertaken)
 }
 
-// stalled asks another upstream for what the silent one owes.
-func (t *attempt) stalled() {
+// startHedge sends a hedged request to another upstream when the first one has stalled.
+func (t *attempt) startHedge() {
 	h := t.newHedge()
 	if h == nil {
 		return
 	}
 	defer close(h.done)
-	t.mark.RecordStall()
-	ok := h.run()
+	t.tracked.RecordStall()
+	ok := h.attemptUpstream()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if ok && !h.lost {
 		h.won = true
-		t.stop(errStalled)
+		t.cancel(errStalled)
 		return
 	}
-	h.abandon()
-	if !t.over {
-		t.spent = append(t.spent, h)
+	h.discard()
+	if !t.ended {
+		t.failedHedges = append(t.failedHedges, h)
 		t.hedge = nil
-		t.watchdog.Reset(eventStall)
+		t.stallTimer.Reset(eventStallTimeout)
 	}
 }
 
-// newHedge makes a hedge, or nil where none may be made now.
+// newHedge returns a new hedge, or nil if none may be started now.
 func (t *attempt) newHedge() *hedge {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch {
-	case t.over || t.hedge != nil:
+	case t.ended || t.hedge != nil:
 		return nil
-	case t.passing:
-		t.watchdog.Reset(eventStall)
+	case t.forwarding:
+		t.stallTimer.Reset(eventStallTimeout)
 		return nil
 	}
-	g := t.flight.gateway
-	f := t.fork()
-	if !f.attemptsLeft() || len(f.tried) > mostTries || g.list.Check(f.fingerprint) != quarantine.Pass {
+	g := t.request.gateway
+	f := t.forkRequest()
+	if !f.hasAttemptsLeft() || len(f.tried) > maxRetries || g.suspects.Check(f.fingerprint) != quarantine.Pass {
 		return nil
 	}
-	if !g.budget.RetryAvailable(f.pool) {
-		g.tally.add("stall_waited_for_budget")
-		t.watchdog.Reset(eventStall)
+	if !g.retryBudget.RetryAvailable(f.pool) {
+		g.metrics.count("stall_waited_for_budget")
+		t.stallTimer.Reset(eventStallTimeout)
 		return nil
 	}
-	t.hedge = &hedge{flight: f, attemptsBefore: f.attempts, done: make(chan struct{})}
+	t.hedge = &hedge{request: f, attemptsBefore: f.attempts, done: make(chan struct{})}
 	return t.hedge
 }
 
-// fork copies what another attempt at the request rests on; the caller holds the lock.
-func (t *attempt) fork() *flight {
-	f := t.flight
-	c := &flight{
-		gateway: f.gateway, ask: f.ask, route: f.route, catalog: f.catalog, pool: f.pool, org: f.org, request: f.request,
-		arrived: f.arrived, lost: f.lost, deadline: f.deadline, callerGives: f.callerGives, body: f.body, rest: f.rest,
-		tried: maps.Clone(f.tried), attempts: t.attempts, neverRan: true, fingerprint: f.fingerprint, alone: f.alone,
-		headSent: t.position.headSent, revision: t.position.revision, events: events{last: t.position.lastEvent},
+// forkRequest copies the state of the request that another attempt depends on. The caller holds the mutex.
+func (t *attempt) forkRequest() *callerRequest {
+	f := t.request
+	copied := &callerRequest{
+		gateway: f.gateway, meta: f.meta, route: f.route, catalog: f.catalog, pool: f.pool, organisation: f.organisation, httpRequest: f.httpRequest,
+		arrived: f.arrived, elapsedBefore: f.elapsedBefore, deadline: f.deadline, callerDeadline: f.callerDeadline, body: f.body, unreadBody: f.unreadBody,
+		tried: maps.Clone(f.tried), attempts: t.attemptNumber, allNotRun: true, fingerprint: f.fingerprint, exclusive: f.exclusive,
+		headSent: t.position.headSent, revision: t.position.revision, events: eventSplitter{lastID: t.position.lastEventID},
 	}
-	for _, h := range t.spent {
-		c.attempts += h.used()
-		maps.Copy(c.tried, h.flight.tried)
+	for _, h := range t.failedHedges {
+		copied.attempts += h.attemptsUsed()
+		maps.Copy(copied.tried, h.request.tried)
 	}
-	c.ctx, c.stop = context.WithCancelCause(t.parent)
-	return c
+	copied.ctx, copied.cancel = context.WithCancelCause(t.parentCtx)
+	return copied
 }
 
-// used is the number of attempts that it was.
-func (h *hedge) used() int {
-	return h.flight.attempts - h.attemptsBefore
+// attemptsUsed returns the number of attempts that the hedge made: 0 or 1.
+func (h *hedge) attemptsUsed() int {
+	return h.request.attempts - h.attemptsBefore
 }
 
-// run makes the attempt, and says whether there is something to go on with.
-func (h *hedge) run() bool {
-	f := h.flight
+// attemptUpstream makes the hedged attempt and reports whether it has data to continue with.
+func (h *hedge) attemptUpstream() bool {
+	f := h.request
 	g := f.gateway
 	c, p := f.choose(f.ctx)
 	if p != nil {
-		g.tally.add("stalled_without_other_upstream")
+		g.metrics.count("stalled_without_other_upstream")
 		return false
 	}
-	if !g.budget.TakeRetry(f.pool) {
+	if !g.retryBudget.TakeRetry(f.pool) {
 		return false
 	}
-	g.tally.add("hedged")
-	h.attempt = f.begin(f.ctx, c)
-	return h.attempt.send() == nil && h.attempt.accepted() && h.read()
+	g.metrics.count("hedged")
+	h.attempt = f.startAttempt(f.ctx, c)
+	return h.attempt.send() == nil && h.attempt.acceptsAnswer() && h.awaitEvent()
 }
 
-// accepted says whether the upstream's answer is one to go on with.
-func (t *attempt) accepted() bool {
-	f, e := t.flight, t.exchange
+// acceptsAnswer reports whether the upstream's response is one that the caller's response can be continued with.
+func (t *attempt) acceptsAnswer() bool {
+	f, e := t.request, t.exchange
 	v := f.gateway.dialect.ReadResponse(e.StatusCode, e.Header)
-	t.noteUpstream(v)
+	t.noteResponse(v)
 	if v.NotRun {
-		_, err := io.Copy(io.Discard, io.LimitReader(e.Body, heldAnswer))
-		t.whole = err == nil
+		_, err := io.Copy(io.Discard, io.LimitReader(e.Body, maxBufferedAnswer))
+		t.answerComplete = err == nil
 		return false
 	}
-	f.neverRan = false
+	f.allNotRun = false
 	if !f.headSent {
 		f.revision = v.Revision
 	}
 	return isSuccess(e.StatusCode)
 }
 
-// read waits for the first event that the caller does not have, or the stream's end.
-func (h *hedge) read() bool {
-	t, f := h.attempt, h.flight
-	buffer := make([]byte, readSize)
+// awaitEvent waits for the first event that the caller does not have, or for the end of the stream.
+func (h *hedge) awaitEvent() bool {
+	t, f := h.attempt, h.request
+	buffer := make([]byte, streamReadSize)
 	for {
 		n, err := t.exchange.Body.Read(buffer)
 		if n > 0 {
-			t.answering.Store(true)
-			t.lastByte = f.gateway.now()
-			h.ready = append(h.ready, f.events.feed(buffer[:n], true)...)
+			t.answerStarted.Store(true)
+			t.lastByteAt = f.gateway.now()
+			h.pendingEvents = append(h.pendingEvents, f.events.feed(buffer[:n], true)...)
 		}
 		switch {
-		case errors.Is(err, io.EOF) && !f.events.partial():
-			h.end = err
+		case errors.Is(err, io.EOF) && !f.events.hasPartial():
+			h.streamEnd = err
 			return true
 		case err != nil:
-			t.broke("the upstream broke off its stream")
+			t.handleBreak("the upstream broke off its stream")
 			return false
-		case len(h.ready) > 0:
+		case len(h.pendingEvents) > 0:
 			return true
 		}
 	}
 }
 
-// abandon gives back what the attempt holds.
-func (h *hedge) abandon() {
+// discard releases what the hedge holds.
+func (h *hedge) discard() {
 	if h.attempt != nil {
-		h.attempt.end()
+		h.attempt.release()
 	}
-	h.flight.stop(nil)
+	h.request.cancel(nil)
 }
 
-// settle ends an attempt with what came of it. Where that is no whole answer, the attempt beside it goes on if it can.
-func (t *attempt) settle(p *attemptError) *attemptError {
-	f := t.flight
-	h := t.close(p == nil || p.final)
-	for _, s := range t.spent {
-		f.spend(s)
+// resolve ends an attempt with its result. If it has no complete response, the hedge continues if it can.
+func (t *attempt) resolve(p *attemptError) *attemptError {
+	f := t.request
+	h := t.closeHedging(p == nil || p.final)
+	for _, s := range t.failedHedges {
+		f.countHedge(s)
 	}
 	if h == nil {
 		return p
 	}
 	<-h.done
-	f.spend(h)
+	f.countHedge(h)
 	switch {
 	case !h.won:
 		return p
 	case p == nil || p.final:
-		h.abandon()
+		h.discard()
 		return p
 	default:
-		return t.adopt(h)
+		return t.adoptHedge(h)
 	}
 }
 
-// close ends the watch over the upstream, and returns the hedge that is under way or has won. That loses where the
-// answer is final.
-func (t *attempt) close(final bool) *hedge {
+// closeHedging stops the stall timer and returns the hedge that is running or has won. A running hedge is cancelled
+// if the result is final.
+func (t *attempt) closeHedging(final bool) *hedge {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.over = true
-	if t.watchdog != nil {
-		t.watchdog.Stop()
+	t.ended = true
+	if t.stallTimer != nil {
+		t.stallTimer.Stop()
 	}
 	if t.hedge != nil && !t.hedge.won && final {
-		t.hedge.lose()
+		t.hedge.cancelLost()
 	}
 	return t.hedge
 }
 
-// spend counts a hedge among the attempts of the request.
-func (f *flight) spend(h *hedge) {
-	f.attempts += h.used()
-	maps.Copy(f.tried, h.flight.tried)
-	f.neverRan = f.neverRan && h.flight.neverRan
-	f.ends = append(f.ends, h.flight.ends...)
+// countHedge adds a hedge to the attempts of the request.
+func (f *callerRequest) countHedge(h *hedge) {
+	f.attempts += h.attemptsUsed()
+	maps.Copy(f.tried, h.request.tried)
+	f.allNotRun = f.allNotRun && h.request.allNotRun
+	f.failedAttempts = append(f.failedAttempts, h.request.failedAttempts...)
 }
 
-// adopt goes on with a hedge that has won.
-func (t *attempt) adopt(h *hedge) *attemptError {
-	f, o, a := t.flight, h.flight, h.attempt
-	defer o.stop(nil)
-	f.permit, f.asked, f.permitEnds, f.named, f.limit, f.decision = o.permit, o.asked, o.permitEnds, o.named, o.limit, o.decision
-	f.upstream, f.revision = o.upstream, o.revision
-	f.upstreamLeaving, f.upstreamRest = o.upstreamLeaving, o.upstreamRest
+// adoptHedge continues the response with a hedge that has won.
+func (t *attempt) adoptHedge(h *hedge) *attemptError {
+	f, hedged, won := t.request, h.request, h.attempt
+	defer hedged.cancel(nil)
+	f.permit, f.permitWait, f.permitExpiry, f.responseLimit, f.knownLimit, f.decision = hedged.permit, hedged.permitWait, hedged.permitExpiry, hedged.responseLimit, hedged.knownLimit, hedged.decision
+	f.upstreamAddress, f.revision = hedged.upstreamAddress, hedged.revision
+	f.upstreamLeaving, f.upstreamRest = hedged.upstreamLeaving, hedged.upstreamRest
 	if !f.headSent {
-		f.predicted = o.predicted
+		f.predictedFirst = hedged.predictedFirst
 	}
-	n := &attempt{
-		flight: f, choice: a.choice, mark: a.mark, permit: a.permit, exchange: a.exchange, versionEnd: a.versionEnd,
-		parent: t.parent, ctx: a.ctx, stop: a.stop, attempts: f.attempts, eventsBefore: f.events.passed, lastByte: a.lastByte, position: f.position(),
+	adopted := &attempt{
+		request: f, choice: won.choice, tracked: won.tracked, permit: won.permit, exchange: won.exchange, versionTimer: won.versionTimer,
+		parentCtx: t.parentCtx, ctx: won.ctx, cancel: won.cancel, attemptNumber: f.attempts, eventsBefore: f.events.forwarded, lastByteAt: won.lastByteAt, position: f.currentPosition(),
 	}
-	defer n.end()
-	n.started()
-	return n.settle(n.resume(h))
+	defer adopted.release()
+	adopted.noteAnswerStart()
+	return adopted.resolve(adopted.resumeFromHedge(h))
 }
 
-// resume passes on what a hedge has read, and what follows.
-func (t *attempt) resume(h *hedge) *attemptError {
-	f := t.flight
-	f.events.restart()
-	if !t.pass(f.events.feed(h.ready, true)) {
-		return t.callerGone()
+// resumeFromHedge forwards the events that a hedge has read, and the rest of its stream.
+func (t *attempt) resumeFromHedge(h *hedge) *attemptError {
+	f := t.request
+	f.events.dropPartial()
+	if !t.writeEvents(f.events.feed(h.pendingEvents, true)) {
+		return t.callerGoneError()
 	}
-	f.events.pending = slices.Clone(h.flight.events.pending)
-	if h.end != nil {
-		return t.ended(h.end)
+	f.events.partialEvent = slices.Clone(h.request.events.partialEvent)
+	if h.streamEnd != nil {
+		return t.finishStream(h.streamEnd)
 	}
-	t.watch(eventStall)
-	return t.read()
+	t.startStallTimer(eventStallTimeout)
+	return t.forwardEvents()
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -7,24 +7,24 @@
 	"github.com/springrail/springrail/internal/facts"
 )
 
-// ListLimits implements the limit service.
+// ListLimits implements the RPC that lists rate limits, pausing upstreams and draining upstreams.
 func (g *Gateway) ListLimits(context.Context, *pb.ListLimitsRequest) (*pb.ListLimitsResponse, error) {
-	a, now := &pb.ListLimitsResponse{}, g.now()
-	for _, l := range g.load.Tracker.Limits() {
-		a.Entries = append(a.Entries, &pb.LimitEntry{
+	response, now := &pb.ListLimitsResponse{}, g.now()
+	for _, l := range g.loadSources.Tracker.Limits() {
+		response.Entries = append(response.Entries, &pb.LimitEntry{
 			Address: l.Address, Rate: float64(l.Rate), AgeMs: now.Sub(l.KnownSince).Milliseconds(), Permits: uint32(l.Permits), Sent: l.Sent, Alone: l.OwnShare,
 		})
 	}
-	for _, r := range g.load.Tracker.RestingUpstreams() {
-		a.Resting = append(a.Resting, &pb.RestingUpstream{Address: r.Address, Instance: string(r.Instance), LeftMs: r.Remaining.Milliseconds()})
+	for _, r := range g.loadSources.Tracker.RestingUpstreams() {
+		response.Resting = append(response.Resting, &pb.RestingUpstream{Address: r.Address, Instance: string(r.Instance), LeftMs: r.Remaining.Milliseconds()})
 	}
 	for _, i := range g.facts.Instances() {
 		if i.Leaving {
 			by := leavingSources[g.facts.LeavingSource(i.ID)]
-			a.Leaving = append(a.Leaving, &pb.LeavingUpstream{Address: i.Address, Instance: string(i.ID), By: by})
+			response.Leaving = append(response.Leaving, &pb.LeavingUpstream{Address: i.Address, Instance: string(i.ID), By: by})
 		}
 	}
-	return a, nil
+	return response, nil
 }
 
 var leavingSources = map[facts.LeavingSource]pb.LeavingSource{
--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -26,21 +26,23 @@
 	"github.com/springrail/springrail/internal/upconn"
 )
 
-// PartName is what other parts name in their needs.
+// PartName is the name under which other parts declare a dependency on the gateway.
 const PartName = "gateway"
 
-// Settings is the section [gateway].
+// Settings is the configuration section [gateway].
 type Settings struct {
 	Listen string `toml:"listen"`
-	// SwapWithin is how soon after it was named a version must be the only one in use.
+	// SwapWithin is the grace period of older versions: the time after the publication of a newer version in which
+	// they may still begin requests.
 	SwapWithin time.Duration `toml:"swap_within"`
-	// RetryRatio, RepeatSlack and RepeatWindow bound what all gateways send beyond the first send of each request.
+	// RetryRatio, RetrySlack and RetryWindow configure the retry budget that all gateways share. It bounds the sends
+	// beyond the first send of each request.
 	RetryRatio  float64       `toml:"repeat_ratio"`
 	RetrySlack  float64       `toml:"repeat_slack"`
 	RetryWindow time.Duration `toml:"repeat_window"`
 }
 
-// NewSettings returns the defaults.
+// NewSettings returns the default settings.
 func NewSettings() *Settings {
 	return &Settings{SwapWithin: 8 * time.Second, RetryRatio: 0.2, RetrySlack: 100, RetryWindow: 10 * time.Second}
 }
@@ -66,50 +68,51 @@
 }
 
 const (
-	// dialTimeout is how long a connection may take to come up. The longest way on today's platforms is 6 ms; an
-	// upstream whose queue of connections is full answers after a second at the earliest.
+	// dialTimeout bounds connection establishment. The longest network path on today's platforms takes 6 ms; an
+	// upstream whose accept queue is full answers after a second at the earliest.
 	dialTimeout = 150 * time.Millisecond
-	// headTimeout bounds how long a caller may take to send a head.
-	headTimeout = 5 * time.Second
-	// callerIdle is how long a caller's connection may rest; it is above the platforms' 15 s, so that the caller is
-	// the one that closes.
-	callerIdle = time.Minute
-	// mostHead bounds a head in bytes before a configuration says how large one may be.
-	mostHead = 64 << 10
-	// leaveQuiet is how long a leaving process takes new connections: a balancer that asks once a second leaves it
-	// out after two questions.
-	leaveQuiet = 3 * time.Second
-	// leaveShare is the part of the time for a planned stop after which requests that still run are given up.
-	leaveShare = 0.9
+	// readHeaderTimeout bounds the time that a caller may take to send the request header.
+	readHeaderTimeout = 5 * time.Second
+	// callerIdleTimeout bounds the idle time of a caller's connection. It exceeds the platforms' 15 s, so that the
+	// caller is the side that closes.
+	callerIdleTimeout = time.Minute
+	// maxHeaderBytes bounds the request header until a configuration with its own limit has been loaded.
+	maxHeaderBytes = 64 << 10
+	// drainAcceptPeriod is the time for which a draining process still accepts connections. A load balancer that
+	// probes readiness once a second removes it after two failed probes.
+	drainAcceptPeriod = 3 * time.Second
+	// drainShare is the fraction of the time for a graceful shutdown after which requests in flight are abandoned.
+	drainShare = 0.9
 )
 
-// Gateway serves callers.
+// Gateway is the reverse proxy that admits callers' requests and forwards them to upstreams.
 type Gateway struct {
-	settings *Settings
-	dialect  *Dialect
-	facts    *facts.Facts
-	load     LoadSources
-	budget   *placement.RetryBudget
-	patience *placement.PatienceTracker
-	pool     *upconn.Pool
-	list     *quarantine.SuspectTracker
-	witness  *quarantine.CrashDetector
-	flights  *flights
-	domain   id.Domain
-	log      *log.Logger
-	tally    *tally
-	now      func() time.Time
-	random   func() *rand.Rand
-	// suspended is how long this VM has been suspended in all.
+	settings         *Settings
+	dialect          *Dialect
+	facts            *facts.Facts
+	loadSources      LoadSources
+	retryBudget      *placement.RetryBudget
+	elapsedEstimator *placement.PatienceTracker
+	connections      *upconn.Pool
+	suspects         *quarantine.SuspectTracker
+	crashDetector    *quarantine.CrashDetector
+	requests         *requestRegistry
+	domain           id.Domain
+	log              *log.Logger
+	metrics          *metrics
+	now              func() time.Time
+	random           func() *rand.Rand
+	// suspended returns the total time for which this VM has been suspended.
 	suspended func() time.Duration
 
 	listener net.Listener
 	server   *http.Server
 	inFlight atomic.Int64
-	// leaving sends callers elsewhere for their next request; closing refuses what still comes.
-	leaving, closing atomic.Bool
-	// stopped is true once the connections of callers are closed.
-	stopped atomic.Bool
+	// leaving makes callers open their next connection to another gateway; rejecting refuses requests that still
+	// arrive.
+	leaving, rejecting atomic.Bool
+	// connectionsClosed is true once the callers' connections have been closed.
+	connectionsClosed atomic.Bool
 }
 
 func newPart(h *kernel.Host) (any, error) {
@@ -121,63 +124,63 @@
 	d := h.Part(DialectPart).(*Dialect)
 	sub := h.Part(reports.SubscriberPart).(*reports.Subscriber)
 	connect := h.Part(traffic.PartName).(*traffic.Part).Dial(traffic.Requests, dial.New(dialTimeout).DialContext)
-	load := LoadSources{Tracker: sub.Tracker(), Offers: sub.Offers(), Demand: sub.Demand, Gateways: sub.GatewayCount}
-	load.Permits = PermitClient{Acquire: sub.RequestPermit, ReportLimit: sub.SendLimit, ReportLimitEnd: sub.SendLimitEnd}
+	loadSources := LoadSources{Tracker: sub.Tracker(), Offers: sub.Offers(), Demand: sub.Demand, Gateways: sub.GatewayCount}
+	loadSources.Permits = PermitClient{Acquire: sub.RequestPermit, ReportLimit: sub.SendLimit, ReportLimitEnd: sub.SendLimitEnd}
 	q := h.Part(quarantine.PartName).(*quarantine.Quarantine)
-	g := New(s, d, h.Part(facts.PartName).(*facts.Facts), load, q, connect, h.Identity.Domain, h.Log)
+	g := New(s, d, h.Part(facts.PartName).(*facts.Facts), loadSources, q, connect, h.Identity.Domain, h.Log)
 	g.listener = l
 	h.Part(rpc.PartName).(*rpc.Server).Handle(springrailv1connect.NewLimitServiceHandler(g))
-	h.Metric("requests", g.tally.vars)
+	h.Metric("requests", g.metrics.vars)
 	h.Metric("in_flight", expvar.Func(func() any { return g.inFlight.Load() }))
 	return g, nil
 }
 
-// LoadSources is what a gateway knows of the load of upstreams and of other gateways.
+// LoadSources holds what a gateway knows of the load on upstreams and of the other gateways.
 type LoadSources struct {
 	Tracker *placement.Tracker
 	Offers  *placement.DemandMeter
-	// Demand is what callers bring to all gateways for a pool.
+	// Demand returns the load that callers offer to all gateways for a pool.
 	Demand func(p id.Pool) placement.Demand
-	// Gateways returns the number of processes that share the budget for repeats.
+	// Gateways returns the number of processes that share the retry budget.
 	Gateways func() int
 	Permits  PermitClient
 }
 
-// New makes a gateway.
-func New(s *Settings, d *Dialect, f *facts.Facts, k LoadSources, q *quarantine.Quarantine,
-	connect func(ctx context.Context, network, address string) (net.Conn, error), own id.Domain, l *log.Logger,
+// New returns a gateway that does not listen yet.
+func New(s *Settings, d *Dialect, f *facts.Facts, loadSources LoadSources, q *quarantine.Quarantine,
+	connect func(ctx context.Context, network, address string) (net.Conn, error), domain id.Domain, l *log.Logger,
 ) *Gateway {
-	rule := placement.RetryBudgetRule{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow}
+	budgetRule := placement.RetryBudgetRule{Ratio: s.RetryRatio, Slack: s.RetrySlack, Window: s.RetryWindow}
 	g := &Gateway{
-		settings: s, dialect: d, facts: f, load: k, domain: own, log: l, tally: newTally(), now: clock.Now,
-		suspended: clock.Suspended,
-		budget:    placement.NewRetryBudget(rule, k.Gateways, clock.Now),
-		patience:  placement.NewPatienceTracker(clock.Now),
-		pool:      upconn.New(connect, clock.Now, d.ResponseMatches),
-		list:      q.Suspects,
-		flights:   newFlights(),
-		random:    func() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) },
+		settings: s, dialect: d, facts: f, loadSources: loadSources, domain: domain, log: l, metrics: newMetrics(), now: clock.Now,
+		suspended:        clock.Suspended,
+		retryBudget:      placement.NewRetryBudget(budgetRule, loadSources.Gateways, clock.Now),
+		elapsedEstimator: placement.NewPatienceTracker(clock.Now),
+		connections:      upconn.New(connect, clock.Now, d.ResponseMatches),
+		suspects:         q.Suspects,
+		requests:         newRequestRegistry(),
+		random:           func() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) },
 	}
-	g.witness = quarantine.NewCrashDetector(g.ended, q.ReportCrash, clock.Now)
-	q.Suspects.OnHeld = append(q.Suspects.OnHeld, func(h quarantine.HeldRequest) { g.flights.stop(h.Fingerprint) })
-	g.pool.OnDial = func() { g.tally.add("dialled") }
+	g.crashDetector = quarantine.NewCrashDetector(g.upstreamEnded, q.ReportCrash, clock.Now)
+	q.Suspects.OnHeld = append(q.Suspects.OnHeld, func(h quarantine.HeldRequest) { g.requests.cancelUnbegun(h.Fingerprint) })
+	g.connections.OnDial = func() { g.metrics.count("dialled") }
 	g.server = &http.Server{
-		Handler: g, ReadHeaderTimeout: headTimeout, IdleTimeout: callerIdle, MaxHeaderBytes: mostHead,
+		Handler: g, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: callerIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: nil,
 	}
 	return g
 }
 
-// Run serves until the context ends.
+// Run serves callers until the context ends.
 func (g *Gateway) Run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
-		g.stopped.Store(true)
+		g.connectionsClosed.Store(true)
 		g.server.Close()
 	})
 	defer stop()
 	go g.watchSuspensions(ctx)
 	err := g.server.Serve(g.listener)
-	if ctx.Err() != nil || g.closing.Load() {
+	if ctx.Err() != nil || g.rejecting.Load() {
 		return nil
 	}
 	return trace.Wrap(err)
@@ -195,26 +198,26 @@
 	}
 }
 
-// Drain implements kernel.Drainer: callers are sent elsewhere while what runs is finished.
+// Drain implements kernel.Drainer: callers are sent to other gateways while requests in flight are completed.
 func (g *Gateway) Drain(ctx context.Context) {
 	g.leaving.Store(true)
-	until, ok := ctx.Deadline()
+	deadline, ok := ctx.Deadline()
 	if ok {
-		left := time.Duration(leaveShare * float64(clock.Left(until)))
+		timeout := time.Duration(drainShare * float64(clock.Left(deadline)))
 		var stop context.CancelFunc
-		ctx, stop = context.WithTimeout(ctx, left)
+		ctx, stop = context.WithTimeout(ctx, timeout)
 		defer stop()
 	}
-	kernel.Pause(ctx, leaveQuiet)
-	g.closing.Store(true)
+	kernel.Pause(ctx, drainAcceptPeriod)
+	g.rejecting.Store(true)
 	for ctx.Err() == nil && g.inFlight.Load() > 0 {
-		kernel.Pause(ctx, drainLook)
+		kernel.Pause(ctx, drainPollInterval)
 	}
-	// Shutdown closes idle connections and waits for those on which a request has begun to come in.
+	// Shutdown closes idle connections and waits for those on which a request has started to arrive.
 	if err := g.server.Shutdown(ctx); err != nil {
-		g.log.Warn().Int64("in_flight", g.inFlight.Load()).Msg("leaving with requests in flight")
+		g.log.Warn().Int64("in_flight", g.inFlight.Load()).Msg("shutting down with requests still in flight")
 	}
 }
 
-// drainLook is how often a leaving process looks whether it is done.
-const drainLook = 20 * time.Millisecond
+// drainPollInterval is how often a draining process checks whether requests are still in flight.
+const drainPollInterval = 20 * time.Millisecond
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -11,81 +11,86 @@
 	"github.com/springrail/springrail/internal/throttle"
 )
 
-// PermitClient is the way to the processes beside upstreams that name a limit; function fields so that tests and plays can
-// replace each.
+// PermitClient calls the stagers of rate-limited upstreams. A stager is the process on an upstream's VM that stages
+// weights, reports load and grants permits. The methods are function fields so that tests and simulations can
+// replace them.
 type PermitClient struct {
-	// Acquire asks for a permit, and returns its number, or 0 where there is none, and whether an answer came before the context ended.
-	Acquire func(ctx context.Context, address string, born id.Birth) (permit uint64, answered bool)
-	// ReportLimit tells a limit that an answer named, and Ended the permit of a request whose answer named none.
-	ReportLimit    func(address string, born id.Birth, r throttle.Rate)
-	ReportLimitEnd func(address string, born id.Birth, permit uint64)
+	// Acquire requests a permit. It returns the permit's number, or 0 if none is available, and whether a reply
+	// arrived before the context ended.
+	Acquire func(ctx context.Context, address string, incarnation id.Birth) (permit uint64, answered bool)
+	// ReportLimit reports a rate limit that a response stated, and ReportLimitEnd the permit of a request whose
+	// response stated none.
+	ReportLimit    func(address string, incarnation id.Birth, r throttle.Rate)
+	ReportLimitEnd func(address string, incarnation id.Birth, permit uint64)
 }
 
 const (
-	// permitTimeout is how long a permit may take to come: a request that waits longer is better sent elsewhere.
+	// permitTimeout bounds the wait for a permit: a request that would wait longer is better sent to another upstream.
 	permitTimeout = 150 * time.Millisecond
-	// permitLife is how long after its question a permit may be used: a suspended process would send what others have had since.
-	permitLife = 500 * time.Millisecond
+	// permitLifetime is how long a permit is valid after it was requested. After a suspension, its share of the limit
+	// may have been given to others.
+	permitLifetime = 500 * time.Millisecond
 )
 
-// acquire gets what an upstream asks for before a request is sent: a permit where it names a limit, and a reply of the
-// stager beside it where the link has to be proven. While that stager is silent, each gateway has a share of a limit,
-// and no link is proven.
-func (f *flight) acquire(ctx context.Context, c *placement.Choice) bool {
-	f.asked = 0
+// acquirePermit obtains what an upstream requires before a request is sent: a permit if it is rate-limited, and a
+// reply of the stager on its VM if the link has to be probed. While that stager does not respond, each gateway uses
+// its share of the limit, and probes fail.
+func (f *callerRequest) acquirePermit(ctx context.Context, c *placement.Choice) bool {
+	f.permitWait = 0
 	if c.Limit == nil && !c.NeedsProbe {
 		return true
 	}
 	if c.Limit != nil {
-		f.limit = *c.Limit
+		f.knownLimit = *c.Limit
 	}
 	if !c.Fresh {
-		return !c.NeedsProbe && f.takePart(c)
+		return !c.NeedsProbe && f.takeSharePermit(c)
 	}
-	return f.askPermit(ctx, c)
+	return f.requestPermit(ctx, c)
 }
 
-// takePart takes a permit of this gateway's own part of a limit.
-func (f *flight) takePart(c *placement.Choice) bool {
+// takeSharePermit takes a permit of this gateway's share of the limit.
+func (f *callerRequest) takeSharePermit(c *placement.Choice) bool {
 	g := f.gateway
-	if !g.load.Tracker.TakeSharePermit(c.Address) {
+	if !g.loadSources.Tracker.TakeSharePermit(c.Address) {
 		return false
 	}
-	g.tally.add("permits_of_own_part")
+	g.metrics.count("permits_of_own_part")
 	return true
 }
 
-// askPermit asks the process beside an upstream.
-func (f *flight) askPermit(ctx context.Context, c *placement.Choice) bool {
+// requestPermit requests a permit of the stager on the upstream's VM.
+func (f *callerRequest) requestPermit(ctx context.Context, c *placement.Choice) bool {
 	g := f.gateway
 	ctx, stop := context.WithTimeout(ctx, permitTimeout)
 	defer stop()
-	began := g.now()
-	permit, answered := g.load.Permits.Acquire(ctx, c.Address, c.Incarnation)
-	f.asked = g.now().Sub(began)
+	start := g.now()
+	permit, answered := g.loadSources.Permits.Acquire(ctx, c.Address, c.Incarnation)
+	f.permitWait = g.now().Sub(start)
 	switch {
 	case !answered:
-		g.tally.add("leave_unanswered")
+		g.metrics.count("leave_unanswered")
 		return false
 	case permit == 0:
-		g.tally.add("permits_refused")
+		g.metrics.count("permits_refused")
 		return false
 	}
-	f.permit, f.permitEnds = permit, began.Add(permitLife)
+	f.permit, f.permitExpiry = permit, start.Add(permitLifetime)
 	if c.Limit != nil {
-		g.tally.add("permits")
+		g.metrics.count("permits")
 	}
 	return true
 }
 
-// noteLimit takes what an answer says of its upstream's limit, and tells the process beside the upstream where that may not know.
+// noteLimit records the rate limit that a response states, and reports it to the stager on the upstream's VM if
+// that may not know it.
 func (t *attempt) noteLimit(w throttle.LimitInfo) {
-	f := t.flight
-	f.named = w
-	if !t.mark.RecordLimitAnswer(w) {
+	f := t.request
+	f.responseLimit = w
+	if !t.tracked.RecordLimitAnswer(w) {
 		return
 	}
-	k := f.gateway.load.Permits
+	k := f.gateway.loadSources.Permits
 	switch {
 	case w.State == throttle.Limited:
 		k.ReportLimit(t.choice.Address, t.choice.Incarnation, w.Rate)
@@ -94,14 +99,14 @@
 	}
 }
 
-// logLimit adds to a request's line what it had to do with a limit.
-func (f *flight) logLimit(e *log.Entry) *log.Entry {
-	if f.named.State == throttle.Limited {
-		e = e.Float64("limit_named", float64(f.named.Rate))
+// logLimit adds the rate limit and permit of a request to its log line.
+func (f *callerRequest) logLimit(e *log.Entry) *log.Entry {
+	if f.responseLimit.State == throttle.Limited {
+		e = e.Float64("limit_named", float64(f.responseLimit.Rate))
 	}
-	if f.limit.KnownSince.IsZero() {
+	if f.knownLimit.KnownSince.IsZero() {
 		return e
 	}
-	return e.Float64("limit", float64(f.limit.Rate)).Int64("limit_age_ms", f.gateway.now().Sub(f.limit.KnownSince).Milliseconds()).
-		Int("permits_left", f.limit.Permits).Uint64("permit", f.permit)
+	return e.Float64("limit", float64(f.knownLimit.Rate)).Int64("limit_age_ms", f.gateway.now().Sub(f.knownLimit.KnownSince).Milliseconds()).
+		Int("permits_left", f.knownLimit.Permits).Uint64("permit", f.permit)
 }
--- a/internal/gateway/permit_test.go
+++ b/internal/gateway/permit_test.go
@@ -19,25 +19,25 @@
 	"github.com/springrail/springrail/internal/throttle"
 )
 
-var _ = Describe("a request before limited upstreams", func() {
+var _ = Describe("a request to rate-limited upstreams", func() {
 	var (
-		b     *testbed
-		s     *sleeper
-		asked atomic.Int32
+		b              *testbed
+		s              *suspendableClock
+		permitRequests atomic.Int32
 	)
 	limited := throttle.LimitInfo{State: throttle.Limited, Rate: 2}
-	// limit has the stager beside an upstream tell a limit, of which two permits are there.
-	limit := func(name string) {
+	// reportLimit makes the stager on the upstream's VM report a rate limit with two permits available.
+	reportLimit := func(name string) {
 		b.tracker.SetReport(b.facts.Instance(id.Instance(name)).Address, placement.LoadReport{
 			ReceivedAt: s.now(), ValidUntil: s.now().Add(time.Hour), Held: []facts.Held{{Model: "m", Revision: 1}},
 			Limit: throttle.Announcement{LimitInfo: limited, Incarnation: 1, Permits: 2},
 		})
 	}
-	// answers has questions answered in a way.
-	answers := func(permit uint64, answered bool, took time.Duration) {
-		b.gateway.load.Permits.Acquire = func(ctx context.Context, _ string, _ id.Birth) (uint64, bool) {
-			asked.Add(1)
-			s.lost.Add(int64(took))
+	// setPermitReply sets the reply to permit requests and the time that it takes.
+	setPermitReply := func(permit uint64, answered bool, took time.Duration) {
+		b.gateway.loadSources.Permits.Acquire = func(ctx context.Context, _ string, _ id.Birth) (uint64, bool) {
+			permitRequests.Add(1)
+			s.suspension.Add(int64(took))
 			if !answered {
 				<-ctx.Done()
 			}
@@ -45,104 +45,104 @@
 		}
 	}
 	ask := func() *http.Response {
-		a, _, err := b.ask("POST", "/p/", "x", xModel, "m", xWait, "6000")
+		a, _, err := b.sendRequest("POST", "/p/", "x", xModel, "m", xTimeout, "6000")
 		Expect(err).NotTo(HaveOccurred())
 		return a
 	}
 	BeforeEach(func() {
-		s = &sleeper{}
-		asked.Store(0)
+		s = &suspendableClock{}
+		permitRequests.Store(0)
 		b = newTestbedAt(s.now, route(catalog.Unsafe, "engines"))
-		b.gateway.load.Permits.ReportLimit = func(string, id.Birth, throttle.Rate) {}
-		b.gateway.load.Permits.ReportLimitEnd = func(string, id.Birth, uint64) {}
+		b.gateway.loadSources.Permits.ReportLimit = func(string, id.Birth, throttle.Rate) {}
+		b.gateway.loadSources.Permits.ReportLimitEnd = func(string, id.Birth, uint64) {}
 		for _, n := range []string{"u", "v", "w", "x"} {
-			b.upstream(n, "engines", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 200, "", "ran") })
-			limit(n)
+			b.addUpstream(n, "engines", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 200, "", "ran") })
+			reportLimit(n)
 		}
 	})
 
-	It("goes to one that gives a permit", func() {
-		answers(7, true, 0)
+	It("is sent to one that grants a permit", func() {
+		setPermitReply(7, true, 0)
 		Expect(ask().StatusCode).To(Equal(200))
-		Expect(asked.Load()).To(BeEquivalentTo(1))
+		Expect(permitRequests.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("is refused at once where none has one, after three questions, and told to come back when one is due", func() {
-		answers(0, true, 0)
+	It("is refused at once after three requests for a permit without success, with the time of the next permit as retry time", func() {
+		setPermitReply(0, true, 0)
 		a := ask()
 		Expect(a.StatusCode).To(Equal(503))
-		Expect(b.runs("1")).To(BeZero())
-		Expect(asked.Load()).To(BeEquivalentTo(mostPermitAsks))
+		Expect(b.upstreamCount("1")).To(BeZero())
+		Expect(permitRequests.Load()).To(BeEquivalentTo(maxPermitRequests))
 		ms, err := strconv.Atoi(a.Header.Get(xRetry))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(ms).To(BeNumerically(">=", 300))
 		Expect(ms).To(BeNumerically("<=", 2000))
 	})
 
-	It("is not sent on silence, nor on a permit that came while the VM was suspended", func() {
-		answers(0, false, 0)
+	It("is not sent without a reply, nor with a permit that arrived while the VM was suspended", func() {
+		setPermitReply(0, false, 0)
 		Expect(ask().StatusCode).To(Equal(503))
-		answers(7, true, permitLife)
+		setPermitReply(7, true, permitLifetime)
 		Expect(ask().StatusCode).To(Equal(503))
-		Expect(b.runs("1")).To(BeZero())
+		Expect(b.upstreamCount("1")).To(BeZero())
 	})
 
-	It("is served by one that is not limited where the others give no permit", func() {
-		answers(0, true, 0)
+	It("is served by one that is not rate-limited if the others grant no permit", func() {
+		setPermitReply(0, true, 0)
 		b.tracker.SetReport(b.facts.Instance("w").Address, placement.LoadReport{
 			ReceivedAt: s.now(), ValidUntil: s.now().Add(time.Hour), Held: []facts.Held{{Model: "m", Revision: 1}}, Limit: throttle.Announcement{Incarnation: 1, LimitInfo: throttle.LimitInfo{State: throttle.Unlimited}},
 		})
 		Expect(ask().StatusCode).To(Equal(200))
-		Expect(asked.Load()).To(BeNumerically("<=", mostPermitAsks))
-		Expect(b.runs("1")).To(Equal(1))
+		Expect(permitRequests.Load()).To(BeNumerically("<=", maxPermitRequests))
+		Expect(b.upstreamCount("1")).To(Equal(1))
 	})
 })
 
-var _ = Describe("what answers say of a limit", func() {
-	It("is told to the stager beside the upstream: a limit each time, its end with the permit of the request", func() {
+var _ = Describe("a rate limit that responses state", func() {
+	It("is reported to the stager on the upstream's VM: each time if there is one, and its end with the permit of the request", func() {
 		b := newTestbed(route(catalog.Unsafe, "engines"))
 		d := testDialect()
-		verdict := d.ReadResponse
+		readResponse := d.ReadResponse
 		d.ReadResponse = func(status int, h http.Header) ResponseMeta {
-			v := verdict(status, h)
+			v := readResponse(status, h)
 			v.Limit = throttle.ParseLimit(h.Get("X-Limit"))
 			return v
 		}
 		b.gateway.dialect = d
-		text := "2"
-		b.upstream("u", "engines", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 200, "X-Limit: "+text+"\r\n", "ran") })
+		limitHeader := "2"
+		b.addUpstream("u", "engines", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 200, "X-Limit: "+limitHeader+"\r\n", "ran") })
 		address := b.facts.Instances()[0].Address
-		told := func(w throttle.Announcement) {
+		report := func(w throttle.Announcement) {
 			b.tracker.SetReport(address, placement.LoadReport{ReceivedAt: time.Now(), Held: []facts.Held{{Model: "m", Revision: 1}}, Limit: w})
 		}
-		var named []throttle.Rate
-		var ended []uint64
-		b.gateway.load.Permits = PermitClient{
+		var reportedLimits []throttle.Rate
+		var endedPermits []uint64
+		b.gateway.loadSources.Permits = PermitClient{
 			Acquire:        func(context.Context, string, id.Birth) (uint64, bool) { return 9, true },
-			ReportLimit:    func(_ string, _ id.Birth, r throttle.Rate) { named = append(named, r) },
-			ReportLimitEnd: func(_ string, _ id.Birth, permit uint64) { ended = append(ended, permit) },
+			ReportLimit:    func(_ string, _ id.Birth, r throttle.Rate) { reportedLimits = append(reportedLimits, r) },
+			ReportLimitEnd: func(_ string, _ id.Birth, permit uint64) { endedPermits = append(endedPermits, permit) },
 		}
-		told(throttle.Announcement{Incarnation: 1})
+		report(throttle.Announcement{Incarnation: 1})
 		for range 2 {
-			_, _, err := b.ask("POST", "/p/", "x", xModel, "m")
+			_, _, err := b.sendRequest("POST", "/p/", "x", xModel, "m")
 			Expect(err).NotTo(HaveOccurred())
-			told(throttle.Announcement{LimitInfo: throttle.LimitInfo{State: throttle.Limited, Rate: 2}, Incarnation: 1, Permits: 2})
+			report(throttle.Announcement{LimitInfo: throttle.LimitInfo{State: throttle.Limited, Rate: 2}, Incarnation: 1, Permits: 2})
 		}
-		Expect(named).To(Equal([]throttle.Rate{2, 2}))
-		text = ""
-		_, _, err := b.ask("POST", "/p/", "x", xModel, "m")
+		Expect(reportedLimits).To(Equal([]throttle.Rate{2, 2}))
+		limitHeader = ""
+		_, _, err := b.sendRequest("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(ended).To(Equal([]uint64{9}))
+		Expect(endedPermits).To(Equal([]uint64{9}))
 	})
 })
 
-var _ = Describe("a stream that breaks off at one upstream while the other is limited", func() {
-	It("goes on there only with a permit", func() {
+var _ = Describe("a stream that breaks off at one upstream while the other is rate-limited", func() {
+	It("continues there only with a permit", func() {
 		b := newTestbed(route(catalog.Streaming, "engines"))
 		for _, n := range []string{"u", "v"} {
-			b.upstream(n, "engines", func(q *http.Request, _ string, c net.Conn) {
+			b.addUpstream(n, "engines", func(q *http.Request, _ string, c net.Conn) {
 				stream(c, q, xRevision+": 1\r\n", "id: 1\ndata: a\n\n")
-				if q.Header.Get(xAfter) != "" {
+				if q.Header.Get(xLastEventID) != "" {
 					_, _ = io.WriteString(c, "0\r\n\r\n")
 				}
 			})
@@ -152,8 +152,8 @@
 			ReceivedAt: time.Now().Add(time.Minute), ValidUntil: time.Now().Add(time.Hour), Held: i.Held,
 			Limit: throttle.Announcement{LimitInfo: throttle.LimitInfo{State: throttle.Limited, Rate: 0.1}, Incarnation: 1},
 		})
-		_, _, err := b.ask("POST", "/p/", "x", xModel, "m")
-		Expect(err).To(HaveOccurred(), "cut, as nothing else may have it")
-		Expect(b.runs("1")).To(Equal(1))
+		_, _, err := b.sendRequest("POST", "/p/", "x", xModel, "m")
+		Expect(err).To(HaveOccurred(), "truncated, as no other upstream may continue it")
+		Expect(b.upstreamCount("1")).To(Equal(1))
 	})
 })
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -18,73 +18,77 @@
 )
 
 const (
-	// heldBody is the longest body that is held whole, in bytes, so that it can be sent a second time; a longer one is
-	// passed on as it comes and sent once. The users' bodies are a few KB.
-	heldBody = 256 << 10
-	// callerSlack is added to a caller's deadline for what is still on its way to it.
-	callerSlack = 100 * time.Millisecond
+	// maxBufferedBody is the longest request body, in bytes, that is buffered so that it can be sent again. A longer
+	// body is streamed and sent only once. Usual bodies are a few KB.
+	maxBufferedBody = 256 << 10
+	// writeDeadlineSlack extends the write deadline beyond the caller's deadline for data still on its way to the
+	// caller.
+	writeDeadlineSlack = 100 * time.Millisecond
 )
 
-// flight is one caller's request.
-type flight struct {
-	gateway *Gateway
-	ask     RequestMeta
-	route   *catalog.Route
-	catalog *catalog.Catalog
-	pool    id.Pool
-	org     id.Organisation
-	request *http.Request
-	w       http.ResponseWriter
-	arrived time.Time
-	// lost is the time that the caller has lost before this try.
-	lost time.Duration
-	// deadline is when the caller or the route gives up, whichever is first; callerGives is the caller's alone.
-	deadline, callerGives time.Time
-	body                  []byte
-	rest                  io.Reader
+// callerRequest is one caller's request in flight and the state of its attempts.
+type callerRequest struct {
+	gateway      *Gateway
+	meta         RequestMeta
+	route        *catalog.Route
+	catalog      *catalog.Catalog
+	pool         id.Pool
+	organisation id.Organisation
+	httpRequest  *http.Request
+	writer       http.ResponseWriter
+	arrived      time.Time
+	// elapsedBefore is the time that the caller spent on earlier tries of this request.
+	elapsedBefore time.Duration
+	// deadline is the earlier of the caller's deadline and the route's timeout; callerDeadline is the caller's alone.
+	deadline, callerDeadline time.Time
+	body                     []byte
+	unreadBody               io.Reader
 
 	tried    map[id.Instance]bool
 	attempts int
-	// headSent is true once the caller has the answer's head.
+	// headSent is true once the response header has been sent to the caller.
 	headSent bool
-	// neverRan is true while every attempt was proved not run.
-	neverRan bool
-	events   events
-	revision id.Revision
-	// What the decisions rested on, for the log line; retry is the Retry-After of a refusal.
-	predicted time.Duration
-	first     time.Duration
-	upstream  string
-	decision  decision
-	retry     time.Duration
-	// named is what the newest answer says of its upstream's limit, and limit what was known of the last limited
-	// upstream that was chosen.
-	named throttle.LimitInfo
-	limit throttle.Limit
-	// held is why the newest attempt was not sent; empty where it was.
-	held heldReason
-	// upstreamLeaving and upstreamRest are what the newest answer says of the upstream itself.
+	// allNotRun is true while every attempt has been proven not to have run.
+	allNotRun bool
+	events    eventSplitter
+	revision  id.Revision
+	// The basis of the decisions, for the log line; retryAfter is the Retry-After of a refusal.
+	predictedFirst  time.Duration
+	timeToFirst     time.Duration
+	upstreamAddress string
+	decision        decision
+	retryAfter      time.Duration
+	// responseLimit is the upstream's rate limit according to the newest response, and knownLimit what was known of
+	// the limit of the last rate-limited upstream that was chosen.
+	responseLimit throttle.LimitInfo
+	knownLimit    throttle.Limit
+	// notSent is the reason why the newest attempt was not sent; empty where it was.
+	notSent notSentReason
+	// upstreamLeaving and upstreamRest are the upstream's draining state and requested pause in the newest response.
 	upstreamLeaving bool
 	upstreamRest    time.Duration
-	// permit is the number of the present attempt's permit, asked how long it took to come, and permitEnds when it expires.
-	permit     uint64
-	asked      time.Duration
-	permitEnds time.Time
-	// fingerprint tells the request from others across its repeats, once its body has been read.
+	// permit is the number of the current attempt's rate limit permit, permitWait the time that it took to obtain, and
+	// permitExpiry when it expires.
+	permit       uint64
+	permitWait   time.Duration
+	permitExpiry time.Time
+	// fingerprint identifies the request across its retries, once its body has been read.
 	fingerprint quarantine.Fingerprint
-	// broken is how far the answer had come on the start of an upstream that broke off last; empty where none did.
-	broken string
-	start  id.Instance
-	// ends are the attempts that brought no whole answer.
-	ends []*attemptEnd
-	// alone is true of a request that is suspected to crash upstreams, and tried while no repeat of it is under way here.
-	alone bool
-	// begun is true once an upstream has begun to answer, and stop ends the request while none has.
-	begun atomic.Bool
-	stop  context.CancelCauseFunc
-	ctx   context.Context
-	// over ends the request in time after the VM was suspended; nil while it has not been.
-	over *time.Timer
+	// brokenProgress is how far the response of the last upstream that broke off had come, and brokenInstance is that
+	// upstream; empty where none did.
+	brokenProgress string
+	brokenInstance id.Instance
+	// failedAttempts are the attempts that ended without a complete response.
+	failedAttempts []*attemptEnd
+	// exclusive is true of a request that is suspected of crashing upstreams: it runs only while no retry of it is in
+	// flight in this process.
+	exclusive bool
+	// answerBegun is true once an upstream has started to answer, and cancel ends the request while none has.
+	answerBegun atomic.Bool
+	cancel      context.CancelCauseFunc
+	ctx         context.Context
+	// resumeTimer ends the request at its deadline after the VM was suspended; nil if it has not been.
+	resumeTimer *time.Timer
 }
 
 // ServeHTTP implements http.Handler.
@@ -94,9 +98,9 @@
 	if g.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	f := &flight{gateway: g, request: r, w: w, arrived: g.now(), ask: g.dialect.ReadRequest(r.Header), tried: map[id.Instance]bool{}, neverRan: true}
-	if g.closing.Load() {
-		f.refuse("leaving", leastRetryAfter)
+	f := &callerRequest{gateway: g, httpRequest: r, writer: w, arrived: g.now(), meta: g.dialect.ReadRequest(r.Header), tried: map[id.Instance]bool{}, allNotRun: true}
+	if g.rejecting.Load() {
+		f.refuse("leaving", minRetryAfter)
 		return
 	}
 	if !f.admit() {
@@ -105,42 +109,42 @@
 	if !f.readBody() {
 		return
 	}
-	f.fingerprint = quarantine.Of(r.Method, r.RequestURI, f.org, f.body)
+	f.fingerprint = quarantine.Of(r.Method, r.RequestURI, f.organisation, f.body)
 	if !f.checkQuarantine() {
 		return
 	}
-	defer g.flights.remove(f)
+	defer g.requests.remove(f)
 	f.run()
 }
 
-// admit finds the request's route and its caller, or answers why not.
-func (f *flight) admit() bool {
+// admit resolves the request's route and authenticates its caller, or answers with the reason for a refusal.
+func (f *callerRequest) admit() bool {
 	g := f.gateway
 	f.catalog = g.facts.Catalog()
 	if f.catalog == nil {
-		f.refuse("no configuration yet", noConfigRetry)
+		f.refuse("no configuration yet", noConfigRetryAfter)
 		return false
 	}
-	path, _, _ := strings.Cut(f.request.RequestURI, "?")
-	f.route = f.catalog.Match(f.request.Host, path)
+	path, _, _ := strings.Cut(f.httpRequest.RequestURI, "?")
+	f.route = f.catalog.Match(f.httpRequest.Host, path)
 	if f.route == nil {
 		f.fail(http.StatusNotFound, "no route")
 		return false
 	}
 	if !f.route.Public && f.catalog.Organisations > 0 {
-		o := f.catalog.Organisation(f.ask.Key)
+		o := f.catalog.Organisation(f.meta.Key)
 		if o == nil {
 			f.fail(http.StatusUnauthorized, "unknown key")
 			return false
 		}
-		f.org = o.Name
+		f.organisation = o.Name
 	}
 	limits := f.catalog.Limits
-	if limits.HeaderBytes > 0 && headerBytes(f.request.Header) > limits.HeaderBytes {
+	if limits.HeaderBytes > 0 && headerSize(f.httpRequest.Header) > limits.HeaderBytes {
 		f.fail(http.StatusRequestHeaderFieldsTooLarge, "header too large")
 		return false
 	}
-	if limits.BodyBytes > 0 && f.request.ContentLength > int64(limits.BodyBytes) {
+	if limits.BodyBytes > 0 && f.httpRequest.ContentLength > int64(limits.BodyBytes) {
 		f.fail(http.StatusRequestEntityTooLarge, "body too large")
 		return false
 	}
@@ -149,46 +153,46 @@
 	return true
 }
 
-// noConfigRetry is when a caller may come back to a process that has just started.
-const noConfigRetry = time.Second
+// noConfigRetryAfter is the Retry-After of a process that has not loaded a configuration yet.
+const noConfigRetryAfter = time.Second
 
-func (f *flight) setDeadline() {
-	const never = time.Hour
-	held, patience := f.route.Timeout, f.ask.Timeout
-	if held <= 0 {
-		held = never
+func (f *callerRequest) setDeadline() {
+	const noTimeout = time.Hour
+	routeTimeout, callerTimeout := f.route.Timeout, f.meta.Timeout
+	if routeTimeout <= 0 {
+		routeTimeout = noTimeout
 	}
-	if patience <= 0 {
-		patience = never
+	if callerTimeout <= 0 {
+		callerTimeout = noTimeout
 	}
-	f.lost = f.gateway.patience.TimeLost(f.route.Name, f.ask.Timeout)
-	f.callerGives = f.arrived.Add(patience)
-	f.deadline = f.arrived.Add(min(held, patience))
+	f.elapsedBefore = f.gateway.elapsedEstimator.TimeLost(f.route.Name, f.meta.Timeout)
+	f.callerDeadline = f.arrived.Add(callerTimeout)
+	f.deadline = f.arrived.Add(min(routeTimeout, callerTimeout))
 }
 
-// left is how much of the request's time is left. Contexts and connections are given that, as their clock stands still
-// while the VM is suspended.
-func (f *flight) left() time.Duration {
+// remaining returns the time until the deadline. Contexts and connections get this duration rather than the
+// deadline, as their clock stops while the VM is suspended.
+func (f *callerRequest) remaining() time.Duration {
 	return f.deadline.Sub(f.gateway.now())
 }
 
-// readBody holds a body that is short enough and keeps the rest of a longer one to pass on.
-func (f *flight) readBody() bool {
-	if f.request.ContentLength == 0 {
+// readBody buffers a body of up to maxBufferedBody and keeps the rest of a longer one for streaming.
+func (f *callerRequest) readBody() bool {
+	if f.httpRequest.ContentLength == 0 {
 		return true
 	}
-	_ = http.NewResponseController(f.w).SetReadDeadline(clock.In(f.left()))
+	_ = http.NewResponseController(f.writer).SetReadDeadline(clock.In(f.remaining()))
 	limit := int64(f.catalog.Limits.BodyBytes)
 	if limit <= 0 {
-		limit = heldBody
+		limit = maxBufferedBody
 	}
-	body := http.MaxBytesReader(nil, f.request.Body, limit)
+	body := http.MaxBytesReader(nil, f.httpRequest.Body, limit)
 	var b bytes.Buffer
-	n, err := io.CopyN(&b, body, heldBody)
+	n, err := io.CopyN(&b, body, maxBufferedBody)
 	f.body = b.Bytes()
-	var over *http.MaxBytesError
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &over):
+	case errors.As(err, &tooLarge):
 		f.fail(http.StatusRequestEntityTooLarge, "body too large")
 		return false
 	case errors.Is(err, io.EOF):
@@ -196,42 +200,43 @@
 	case err != nil:
 		f.fail(http.StatusBadRequest, "the body did not come whole")
 		return false
-	case n == heldBody:
-		f.rest = body
+	case n == maxBufferedBody:
+		f.unreadBody = body
 	}
 	return true
 }
 
-// run offers the request to upstreams until there is an answer.
-func (f *flight) run() {
-	ctx, stop := context.WithTimeout(f.ctx, f.left())
+// run sends the request to upstreams one after another until one answers or no retry is allowed.
+func (f *callerRequest) run() {
+	ctx, stop := context.WithTimeout(f.ctx, f.remaining())
 	defer stop()
-	_ = http.NewResponseController(f.w).SetWriteDeadline(clock.In(f.left() + callerSlack))
-	f.gateway.budget.RecordRequest(f.pool)
+	_ = http.NewResponseController(f.writer).SetWriteDeadline(clock.In(f.remaining() + writeDeadlineSlack))
+	f.gateway.retryBudget.RecordRequest(f.pool)
 	for {
-		next := f.attempt(ctx)
-		if next == nil {
+		failure := f.tryUpstream(ctx)
+		if failure == nil {
 			return
 		}
-		if !f.again(ctx, next) {
-			f.finish(ctx, next)
+		if !f.mayRetry(ctx, failure) {
+			f.answerFailure(ctx, failure)
 			return
 		}
 	}
 }
 
-// again says whether the request may be offered to another upstream after a failure.
-func (f *flight) again(ctx context.Context, p *attemptError) bool {
-	if ctx.Err() != nil || p.final || f.gateway.list.Check(f.fingerprint) != quarantine.Pass || !f.attemptsLeft() || !Retryable(f.route, len(f.tried), p.notRun, f.headSent) {
+// mayRetry reports whether the request may be sent to another upstream after a failure.
+func (f *callerRequest) mayRetry(ctx context.Context, p *attemptError) bool {
+	if ctx.Err() != nil || p.final || f.gateway.suspects.Check(f.fingerprint) != quarantine.Pass || !f.hasAttemptsLeft() || !Retryable(f.route, len(f.tried), p.notRun, f.headSent) {
 		return false
 	}
-	return f.attempts == 0 || f.gateway.budget.TakeRetry(f.pool)
+	return f.attempts == 0 || f.gateway.retryBudget.TakeRetry(f.pool)
 }
 
-// Retryable says whether what failed at an upstream may be offered to another one, as far as the route and the tries tell.
+// Retryable reports whether a request that failed at an upstream may be sent to another one, judged by its route
+// and by the number of upstreams tried.
 func Retryable(r *catalog.Route, tried int, notRun, headSent bool) bool {
 	switch {
-	case tried > mostTries:
+	case tried > maxRetries:
 		return false
 	case !notRun && !r.Idempotent():
 		return false
@@ -241,67 +246,67 @@
 	return true
 }
 
-// mostTries bounds the upstreams that one request is offered to, those that took no connection included.
-const mostTries = 4
+// maxRetries bounds the retries of one request at other upstreams, also after refused connections.
+const maxRetries = 4
 
-// finish answers a request that is given up.
-func (f *flight) finish(ctx context.Context, p *attemptError) {
+// answerFailure answers a request whose attempts have all failed.
+func (f *callerRequest) answerFailure(ctx context.Context, p *attemptError) {
 	switch {
-	case f.request.Context().Err() != nil:
-		f.gateway.tally.add("caller_left")
+	case f.httpRequest.Context().Err() != nil:
+		f.gateway.metrics.count("caller_left")
 		f.logLine("caller left", p.text)
 		panic(http.ErrAbortHandler)
 	case f.headSent:
-		f.gateway.tally.add("cut")
+		f.gateway.metrics.count("cut")
 		f.logLine("cut", p.text)
 		panic(http.ErrAbortHandler)
-	case p.notRun && f.neverRan:
-		f.refuse(p.text, p.retry)
-	case ctx.Err() != nil && !errors.Is(context.Cause(ctx), errHeld):
+	case p.notRun && f.allNotRun:
+		f.refuse(p.text, p.retryAfter)
+	case ctx.Err() != nil && !errors.Is(context.Cause(ctx), errQuarantined):
 		f.fail(http.StatusGatewayTimeout, p.text)
 	default:
 		f.fail(http.StatusBadGateway, p.text)
 	}
 }
 
-// refuse promises the caller that the request was not run, and says when to come back.
-func (f *flight) refuse(why string, retry time.Duration) {
-	f.retry = max(retry, leastRetryAfter)
-	f.gateway.dialect.SetRetryAfter(f.w.Header(), f.retry)
+// refuse answers that the request was not run and when the caller may retry.
+func (f *callerRequest) refuse(why string, retryAfter time.Duration) {
+	f.retryAfter = max(retryAfter, minRetryAfter)
+	f.gateway.dialect.SetRetryAfter(f.writer.Header(), f.retryAfter)
 	f.fail(http.StatusServiceUnavailable, why)
 }
 
-// leastRetryAfter keeps a refused caller from coming back into the same queue.
-const leastRetryAfter = 100 * time.Millisecond
+// minRetryAfter keeps a refused caller from retrying into the same queue.
+const minRetryAfter = 100 * time.Millisecond
 
-// fail answers with a status of the gateway's own.
-func (f *flight) fail(status int, why string) {
-	h := f.w.Header()
+// fail answers with an error status generated by the gateway.
+func (f *callerRequest) fail(status int, why string) {
+	h := f.writer.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
-	f.w.WriteHeader(status)
-	_, _ = io.WriteString(f.w, why+"\n")
-	f.gateway.tally.add(why)
+	f.writer.WriteHeader(status)
+	_, _ = io.WriteString(f.writer, why+"\n")
+	f.gateway.metrics.count(why)
 	f.logLine(http.StatusText(status), why)
 }
 
-// outcomeAnswered is the outcome of a request whose caller has its answer whole.
+// outcomeAnswered is the outcome of a request whose caller has received the complete response.
 const outcomeAnswered = "answered"
 
-// logLine writes the one line of a request: what came of it and what decided it.
-func (f *flight) logLine(outcome, why string) {
+// logLine writes the access log line of a request: its outcome and the basis of the decisions.
+func (f *callerRequest) logLine(outcome, why string) {
 	g := f.gateway
-	e := g.log.Info().Str("request", string(f.ask.Request)).Str("outcome", outcome).Str("why", why).
+	e := g.log.Info().Str("request", string(f.meta.Request)).Str("outcome", outcome).Str("why", why).
 		Int64("took_ms", g.now().Sub(f.arrived).Milliseconds()).Int("attempts", f.attempts)
 	if f.catalog != nil {
 		e = e.Uint64("config", f.catalog.Revision)
 	}
 	if f.route != nil {
-		e = e.Str("route", string(f.route.Name)).Str("organisation", string(f.org)).Str("pool", string(f.pool)).
+		e = e.Str("route", string(f.route.Name)).Str("organisation", string(f.organisation)).Str("pool", string(f.pool)).
 			Int64("route_aim_ms", f.route.Aim.Milliseconds())
 	}
-	if f.upstream != "" {
-		e = e.Str("upstream", f.upstream).Int64("predicted_ms", f.predicted.Milliseconds()).
-			Int64("first_ms", f.first.Milliseconds()).Uint64("revision", uint64(f.revision))
+	if f.upstreamAddress != "" {
+		e = e.Str("upstream", f.upstreamAddress).Int64("predicted_ms", f.predictedFirst.Milliseconds()).
+			Int64("first_ms", f.timeToFirst.Milliseconds()).Uint64("revision", uint64(f.revision))
 	}
 	if outcome != outcomeAnswered {
 		f.decision.log(e)
@@ -310,28 +315,28 @@
 		}
 	}
 	e = f.logUpstream(f.logLimit(e))
-	if f.broken != "" {
-		e = e.Str("broken", f.broken).Str("broken_instance", string(f.start))
+	if f.brokenProgress != "" {
+		e = e.Str("broken", f.brokenProgress).Str("broken_instance", string(f.brokenInstance))
 	}
-	if len(f.ends) > 0 {
-		e = e.Objects("ended", f.ends)
+	if len(f.failedAttempts) > 0 {
+		e = e.Objects("ended", f.failedAttempts)
 	}
-	if f.retry > 0 {
-		e = e.Int64("retry_ms", f.retry.Milliseconds())
+	if f.retryAfter > 0 {
+		e = e.Int64("retry_ms", f.retryAfter.Milliseconds())
 	}
 	e.Msg("request")
 }
 
-// attemptError is why an attempt brought no answer.
+// attemptError is the reason why an attempt produced no complete response.
 type attemptError struct {
 	text string
-	// notRun says that this attempt was proved not run.
+	// notRun is true if the attempt has been proven not to have run.
 	notRun bool
-	// final says that no other upstream would help.
-	final bool
-	retry time.Duration
+	// final is true if a retry at another upstream would not help.
+	final      bool
+	retryAfter time.Duration
 }
 
-func notRun(text string, retry time.Duration) *attemptError {
-	return &attemptError{text: text, notRun: true, retry: retry}
+func notRunError(text string, retryAfter time.Duration) *attemptError {
+	return &attemptError{text: text, notRun: true, retryAfter: retryAfter}
 }
--- a/internal/gateway/stall_test.go
+++ b/internal/gateway/stall_test.go
@@ -19,7 +19,7 @@
 	const (
 		first = "id: 1\ndata: a\n\n"
 		rest  = "id: 2\ndata: b\n\nid: 3\ndata: c\n\n"
-		pause = eventStall + 700*time.Millisecond
+		pause = eventStallTimeout + 700*time.Millisecond
 	)
 	var b *testbed
 	BeforeEach(func() {
@@ -27,28 +27,28 @@
 		r.Timeout = 5 * time.Second
 		b = newTestbed(r)
 	})
-	finish := func(c net.Conn, body string) {
+	endStream := func(c net.Conn, body string) {
 		_, _ = fmt.Fprintf(c, "%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 	}
-	// pausing adds the upstream that gets the request first, and calls joined as it does.
+	// pausing adds the upstream that receives the request first, and calls joined when it does.
 	pausing := func(joined func()) {
-		b.upstream("u", "engines", func(q *http.Request, _ string, c net.Conn) {
+		b.addUpstream("u", "engines", func(q *http.Request, _ string, c net.Conn) {
 			joined()
 			stream(c, q, xRevision+": 1\r\nX-Seal: u\r\n", first)
 			time.Sleep(pause)
-			finish(c, rest)
+			endStream(c, rest)
 		})
 	}
 	expectWhole := func(seal string) {
 		GinkgoHelper()
-		a, body, err := b.ask("POST", "/p/", "x", xModel, "m")
+		a, body, err := b.sendRequest("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(http.StatusOK))
 		Expect(body).To(Equal(first + rest))
 		Expect(a.Header.Get("X-Seal")).To(Equal(seal))
 	}
-	whole := func(q *http.Request, _ string, c net.Conn) {
-		if q.Header.Get(xAfter) == "" {
+	continueStream := func(q *http.Request, _ string, c net.Conn) {
+		if q.Header.Get(xLastEventID) == "" {
 			stream(c, q, xRevision+": 1\r\nX-Seal: v\r\n", first, rest)
 		} else {
 			stream(c, q, xRevision+": 1\r\nX-Seal: v\r\n", rest)
@@ -56,9 +56,9 @@
 		_, _ = io.WriteString(c, "0\r\n\r\n")
 	}
 
-	It("is waited for where the others serve another version", func() {
+	It("is waited for if the others serve another version", func() {
 		pausing(func() {
-			b.upstream("v", "engines", whole)
+			b.addUpstream("v", "engines", continueStream)
 			v := *b.facts.Instance("v")
 			v.Held = []facts.Held{{Model: "m", Revision: 2}}
 			v.ListPosition = 1
@@ -67,9 +67,9 @@
 		expectWhole("u")
 	})
 
-	It("is waited for where the others serve no version", func() {
+	It("is waited for if the others serve no version", func() {
 		pausing(func() {
-			b.upstream("v", "engines", whole)
+			b.addUpstream("v", "engines", continueStream)
 			v := *b.facts.Instance("v")
 			v.Held, v.ListPosition = nil, 1
 			b.facts.SetInstance(&v)
@@ -77,72 +77,72 @@
 		expectWhole("u")
 	})
 
-	It("is waited for where another one refuses it", func() {
+	It("is waited for if another one refuses it", func() {
 		pausing(func() {
-			b.upstream("v", "engines", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 503, xNotRun+": 1\r\n", "full") })
+			b.addUpstream("v", "engines", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 503, xNotRun+": 1\r\n", "full") })
 		})
 		expectWhole("u")
 	})
 
-	It("is waited for where another one breaks off", func() {
+	It("is waited for if another one breaks off", func() {
 		pausing(func() {
-			b.upstream("v", "engines", func(_ *http.Request, _ string, c net.Conn) { _ = c.Close() })
+			b.addUpstream("v", "engines", func(_ *http.Request, _ string, c net.Conn) { _ = c.Close() })
 		})
 		expectWhole("u")
 	})
 
-	It("is waited for where another one is silent as well", func() {
+	It("is waited for if another one is silent as well", func() {
 		pausing(func() {
-			b.upstream("v", "engines", func(_ *http.Request, _ string, c net.Conn) { _, _ = c.Read(make([]byte, 1)) })
+			b.addUpstream("v", "engines", func(_ *http.Request, _ string, c net.Conn) { _, _ = c.Read(make([]byte, 1)) })
 		})
 		expectWhole("u")
 	})
 
-	It("is answered by the other one where that begins first", func() {
-		pausing(func() { b.upstream("v", "engines", whole) })
+	It("is continued by the other one if that sends data first", func() {
+		pausing(func() { b.addUpstream("v", "engines", continueStream) })
 		began := time.Now()
 		expectWhole("u")
 		Expect(time.Since(began)).To(BeNumerically("<", pause))
 	})
 
-	It("is answered by its own upstream where that goes on first", func() {
-		gone := make(chan struct{})
+	It("is continued by the first upstream if that sends data first", func() {
+		disconnected := make(chan struct{})
 		pausing(func() {
-			b.upstream("v", "engines", func(_ *http.Request, _ string, c net.Conn) {
+			b.addUpstream("v", "engines", func(_ *http.Request, _ string, c net.Conn) {
 				_, _ = c.Read(make([]byte, 1))
-				close(gone)
+				close(disconnected)
 			})
 		})
 		expectWhole("u")
-		Eventually(gone).Should(BeClosed(), "the attempt that lost is ended at its upstream")
+		Eventually(disconnected).Should(BeClosed(), "the losing attempt is cancelled at its upstream")
 	})
 
-	It("is not continued by another one where its answer is no stream", func() {
-		long := strings.Repeat("x", heldAnswer)
-		b.upstream("u", "engines", func(q *http.Request, _ string, c net.Conn) {
-			b.upstream("v", "engines", whole)
-			_, _ = fmt.Fprintf(c, "HTTP/1.1 500 x\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", xRequest, q.Header.Get(xRequest), 2*heldAnswer, long)
+	It("is not continued by another one if the response is not a stream", func() {
+		half := strings.Repeat("x", maxBufferedAnswer)
+		b.addUpstream("u", "engines", func(q *http.Request, _ string, c net.Conn) {
+			b.addUpstream("v", "engines", continueStream)
+			_, _ = fmt.Fprintf(c, "HTTP/1.1 500 x\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", xRequest, q.Header.Get(xRequest), 2*maxBufferedAnswer, half)
 			time.Sleep(pause)
-			_, _ = io.WriteString(c, long)
+			_, _ = io.WriteString(c, half)
 		})
-		a, body, err := b.ask("POST", "/p/", "x", xModel, "m")
+		a, body, err := b.sendRequest("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(500))
-		Expect(body).To(Equal(long + long))
+		Expect(body).To(Equal(half + half))
 	})
 
-	It("is waited for before its first event where no other one may have it", func() {
-		b.upstream("u", "engines", func(q *http.Request, _ string, c net.Conn) {
-			time.Sleep(firstStall + 600*time.Millisecond)
+	It("is waited for before its first event if no other one is available", func() {
+		b.addUpstream("u", "engines", func(q *http.Request, _ string, c net.Conn) {
+			time.Sleep(firstEventSlack + 600*time.Millisecond)
 			stream(c, q, xRevision+": 1\r\nX-Seal: u\r\n", first, rest)
 			_, _ = io.WriteString(c, "0\r\n\r\n")
 		})
 		expectWhole("u")
 	})
 
-	It("is answered by the other one before its first event where that begins first", func() {
-		b.upstream("u", "engines", func(_ *http.Request, _ string, c net.Conn) {
-			b.upstream("v", "engines", whole)
+	It("is answered by the other one before its first event if that sends data first", func() {
+		b.addUpstream("u", "engines", func(_ *http.Request, _ string, c net.Conn) {
+			b.addUpstream("v", "engines", continueStream)
 			_, _ = c.Read(make([]byte, 1))
 		})
 		expectWhole("v")
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -12,11 +12,11 @@
 	"github.com/springrail/springrail/internal/catalog"
 )
 
-var _ = Describe("a planned stop", func() {
-	It("finishes what runs, turns later requests away as unrun, and leaves the balancer at once", func() {
+var _ = Describe("a graceful shutdown", func() {
+	It("completes requests in flight, refuses later ones as not run, and fails the readiness probe at once", func() {
 		b := newTestbed(route(catalog.Unsafe, "plain"))
-		b.upstream("u", "plain", func(q *http.Request, _ string, c net.Conn) {
-			time.Sleep(leaveQuiet + 300*time.Millisecond)
+		b.addUpstream("u", "plain", func(q *http.Request, _ string, c net.Conn) {
+			time.Sleep(drainAcceptPeriod + 300*time.Millisecond)
 			reply(c, q, 200, "", "whole")
 		})
 		b.gateway.facts.Catalog().Match("h.example", "/p/").Timeout = 10 * time.Second
@@ -26,16 +26,16 @@
 		}
 		done := make(chan result, 1)
 		go func() {
-			_, body, err := b.ask("POST", "/p/", "x")
+			_, body, err := b.sendRequest("POST", "/p/", "x")
 			done <- result{body: body, err: err}
 		}()
-		Eventually(func() int { return b.runs("1") }).Should(Equal(1))
+		Eventually(func() int { return b.upstreamCount("1") }).Should(Equal(1))
 		ctx, stop := context.WithTimeout(context.Background(), 8*time.Second)
 		defer stop()
 		go b.gateway.Drain(ctx)
 		Eventually(b.gateway.NotReady).Should(Equal("leaving"))
-		time.Sleep(leaveQuiet + 50*time.Millisecond)
-		a, _, err := b.ask("POST", "/p/", "x", xRequest, "2")
+		time.Sleep(drainAcceptPeriod + 50*time.Millisecond)
+		a, _, err := b.sendRequest("POST", "/p/", "x", xRequest, "2")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(503))
 		r := <-done
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -18,7 +18,7 @@
 	"github.com/springrail/springrail/internal/placement"
 )
 
-// stream writes the head of a stream and then pieces as they stand.
+// stream writes the header of a stream and then the pieces unchanged.
 func stream(c net.Conn, q *http.Request, extra string, pieces ...string) {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 x\r\n%s: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n%s\r\n",
 		xRequest, q.Header.Get(xRequest), extra)
@@ -31,9 +31,9 @@
 var _ = Describe("a stream", func() {
 	const all = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n"
 
-	// resume is an upstream that breaks off within its second event, or goes on after what its caller has.
+	// resume is an upstream that breaks off within its second event, or continues after the caller's last event.
 	resume := func(q *http.Request, _ string, c net.Conn) {
-		if q.Header.Get(xAfter) == "" {
+		if q.Header.Get(xLastEventID) == "" {
 			stream(c, q, xRevision+": 1\r\nX-Seal: first\r\n", "id: 1\ndata: a\n\nid: 2\nda")
 			return
 		}
@@ -41,63 +41,63 @@
 		_, _ = io.WriteString(c, "0\r\n\r\n")
 	}
 
-	It("that breaks within an event goes on elsewhere: no event is lost, doubled or in part, and the head stays", func() {
+	It("is continued by another upstream if it breaks within an event: no event is lost, duplicated or partial, and the header stays", func() {
 		b := newTestbed(route(catalog.Streaming, "engines"))
-		b.upstream("u", "engines", resume)
-		b.upstream("v", "engines", resume)
-		a, body, err := b.ask("POST", "/p/", "x", xModel, "m", "X-Hang-Up", "1")
+		b.addUpstream("u", "engines", resume)
+		b.addUpstream("v", "engines", resume)
+		a, body, err := b.sendRequest("POST", "/p/", "x", xModel, "m", "X-Hang-Up", "1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(Equal(all))
 		Expect(a.Header.Get("X-Seal")).To(Equal("first"))
 	})
 
-	It("waits on while its last upstream is silent: nobody else may take it up, so giving up would only cut it", func() {
-		patient := route(catalog.Streaming, "engines")
-		patient.Timeout = 6 * time.Second
-		b := newTestbed(patient)
+	It("keeps waiting while its last upstream is silent: no other one may continue it, so giving up would only truncate it", func() {
+		longRoute := route(catalog.Streaming, "engines")
+		longRoute.Timeout = 6 * time.Second
+		b := newTestbed(longRoute)
 		slow := func(q *http.Request, _ string, c net.Conn) {
-			if q.Header.Get(xAfter) == "" {
+			if q.Header.Get(xLastEventID) == "" {
 				stream(c, q, xRevision+": 1\r\n", "id: 1\ndata: a\n\n")
 				return
 			}
-			time.Sleep(firstStall + 300*time.Millisecond)
+			time.Sleep(firstEventSlack + 300*time.Millisecond)
 			stream(c, q, xRevision+": 1\r\n", "id: 2\ndata: b\n\n")
-			time.Sleep(eventStall + 100*time.Millisecond)
+			time.Sleep(eventStallTimeout + 100*time.Millisecond)
 			stream3 := "id: 3\ndata: c\n\n"
 			_, _ = fmt.Fprintf(c, "%x\r\n%s\r\n0\r\n\r\n", len(stream3), stream3)
 		}
 		for _, name := range []string{"u", "v", "w"} {
-			b.upstream(name, "engines", slow)
+			b.addUpstream(name, "engines", slow)
 		}
-		_, body, err := b.ask("POST", "/p/", "x", xModel, "m", "X-Hang-Up", "1")
+		_, body, err := b.sendRequest("POST", "/p/", "x", xModel, "m", "X-Hang-Up", "1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(body).To(Equal(all))
 	})
 
-	It("never looks complete where nobody can go on with its version", func() {
+	It("never looks complete if no upstream can continue with its version", func() {
 		b := newTestbed(route(catalog.Streaming, "engines"))
-		b.upstream("u", "engines", resume)
-		b.upstream("v", "engines", resume)
+		b.addUpstream("u", "engines", resume)
+		b.addUpstream("v", "engines", resume)
 		for _, i := range b.facts.Instances() {
 			if i.ID == "v" {
 				b.facts.SetInstance(&facts.Instance{ID: i.ID, Pool: i.Pool, Address: i.Address, Domain: "far", Slots: 4,
 					Held: []facts.Held{{Model: "m", Revision: 2}}, ListPosition: 1})
 			}
 		}
-		broken := 0
+		truncated := 0
 		for range 8 {
-			_, body, err := b.ask("POST", "/p/", "x", xModel, "m", "X-Hang-Up", "1")
+			_, body, err := b.sendRequest("POST", "/p/", "x", xModel, "m", "X-Hang-Up", "1")
 			if err != nil {
-				broken++
+				truncated++
 				Expect(body).To(Equal("id: 1\ndata: a\n\n"))
 			}
 		}
-		Expect(broken).To(BeNumerically(">", 0))
+		Expect(truncated).To(BeNumerically(">", 0))
 	})
 
 	It("reaches its caller event by event", func() {
 		b := newTestbed(route(catalog.Streaming, "engines"))
-		b.upstream("u", "engines", func(q *http.Request, _ string, c net.Conn) {
+		b.addUpstream("u", "engines", func(q *http.Request, _ string, c net.Conn) {
 			stream(c, q, "", "id: 1\ndata: a\n\n")
 			time.Sleep(300 * time.Millisecond)
 			stream2 := "id: 2\ndata: b\n\n"
@@ -115,52 +115,52 @@
 		Expect(time.Since(start)).To(BeNumerically("<", 200*time.Millisecond))
 	})
 
-	It("begins only where its model is served, in a version whose time is not over", func() {
+	It("begins only where its model is served, in a version whose grace period has not ended", func() {
 		b := newTestbed(route(catalog.Streaming, "engines"))
-		b.upstream("u", "engines", resume)
-		b.facts.SetWanted("m", secondNamed())
+		b.addUpstream("u", "engines", resume)
+		b.facts.SetWanted("m", newSecondVersion())
 		b.gateway.settings.SwapWithin = swapMargin + 10*time.Millisecond
 		time.Sleep(30 * time.Millisecond)
-		a, _, err := b.ask("POST", "/p/", "x", xModel, "m")
+		a, _, err := b.sendRequest("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(503))
-		Expect(b.runs("1")).To(BeZero())
+		Expect(b.upstreamCount("1")).To(BeZero())
 		b.tracker.SetReport(b.facts.Instances()[0].Address, placement.LoadReport{
 			Held: []facts.Held{{Model: "m", Revision: 2}}, ReceivedAt: time.Now(),
 		})
-		_, _, _ = b.ask("POST", "/p/", "x", xModel, "m", xRequest, "2", "X-Hang-Up", "1")
-		Expect(b.runs("2")).To(Equal(1))
+		_, _, _ = b.sendRequest("POST", "/p/", "x", xModel, "m", xRequest, "2", "X-Hang-Up", "1")
+		Expect(b.upstreamCount("2")).To(Equal(1))
 	})
 
-	It("is kept from an older version behind a narrow link earlier, as it would be long on its way", func() {
+	It("is kept from an older version behind a narrow link earlier, as its transit would be long", func() {
 		b := newTestbed(route(catalog.Streaming, "engines"))
-		b.upstream("u", "engines", resume)
-		b.facts.SetWanted("m", secondNamed())
+		b.addUpstream("u", "engines", resume)
+		b.facts.SetWanted("m", newSecondVersion())
 		b.gateway.settings.SwapWithin = swapMargin + time.Second
 		report := placement.LoadReport{Congested: true, Held: []facts.Held{{Model: "m", Revision: 1}}, ReceivedAt: time.Now()}
 		b.tracker.SetReport(b.facts.Instances()[0].Address, report)
 		time.Sleep(5 * time.Millisecond)
-		a, _, err := b.ask("POST", "/p/", "x", xModel, "m", xRequest, "1")
+		a, _, err := b.sendRequest("POST", "/p/", "x", xModel, "m", xRequest, "1")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(503))
-		Expect(b.runs("1")).To(BeZero())
+		Expect(b.upstreamCount("1")).To(BeZero())
 		report.Congested = false
 		b.tracker.SetReport(b.facts.Instances()[0].Address, report)
-		_, _, _ = b.ask("POST", "/p/", "x", xModel, "m", xRequest, "2", "X-Hang-Up", "1")
-		Expect(b.runs("2")).To(Equal(1))
+		_, _, _ = b.sendRequest("POST", "/p/", "x", xModel, "m", xRequest, "2", "X-Hang-Up", "1")
+		Expect(b.upstreamCount("2")).To(Equal(1))
 	})
 
-	It("goes on elsewhere on an older version only with time to spare", func() {
-		for _, spare := range []time.Duration{swapMargin + time.Second, swapResume + time.Second} {
+	It("is continued on an older version only with enough time left", func() {
+		for _, within := range []time.Duration{swapMargin + time.Second, resumeMargin + time.Second} {
 			b := newTestbed(route(catalog.Streaming, "engines"))
-			b.upstream("u", "engines", resume)
-			b.upstream("v", "engines", resume)
-			b.facts.SetWanted("m", secondNamed())
-			b.gateway.settings.SwapWithin = spare
+			b.addUpstream("u", "engines", resume)
+			b.addUpstream("v", "engines", resume)
+			b.facts.SetWanted("m", newSecondVersion())
+			b.gateway.settings.SwapWithin = within
 			time.Sleep(5 * time.Millisecond)
-			_, body, err := b.ask("POST", "/p/", "x", xModel, "m", "X-Hang-Up", "1")
-			if spare < swapResume {
-				Expect(err).To(HaveOccurred(), "cut, and known to be")
+			_, body, err := b.sendRequest("POST", "/p/", "x", xModel, "m", "X-Hang-Up", "1")
+			if within < resumeMargin {
+				Expect(err).To(HaveOccurred(), "truncated, and recognisable as such")
 				continue
 			}
 			Expect(err).NotTo(HaveOccurred())
@@ -168,62 +168,62 @@
 		}
 	})
 
-	It("is given up at an upstream that has not begun it when the version's time is over, budget or not", func() {
+	It("is cancelled at an upstream that has not begun it when the version's grace period ends, regardless of the retry budget", func() {
 		r := route(catalog.Streaming, "engines")
 		r.Timeout = 5 * time.Second
 		b := newTestbed(r)
-		b.gateway.budget = placement.NewRetryBudget(placement.RetryBudgetRule{Window: time.Second}, func() int { return 1 }, time.Now)
-		gone := make(chan time.Time, 1)
-		b.upstream("frozen", "engines", func(_ *http.Request, _ string, c net.Conn) {
+		b.gateway.retryBudget = placement.NewRetryBudget(placement.RetryBudgetRule{Window: time.Second}, func() int { return 1 }, time.Now)
+		disconnected := make(chan time.Time, 1)
+		b.addUpstream("frozen", "engines", func(_ *http.Request, _ string, c net.Conn) {
 			_, _ = c.Read(make([]byte, 1))
-			gone <- time.Now()
+			disconnected <- time.Now()
 		})
 		since := time.Now()
-		b.facts.SetWanted("m", secondNamed())
+		b.facts.SetWanted("m", newSecondVersion())
 		b.gateway.settings.SwapWithin = swapMargin + 300*time.Millisecond
-		a, _, err := b.ask("POST", "/p/", "x", xModel, "m")
+		a, _, err := b.sendRequest("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(502), "it may have run")
-		Expect((<-gone).Sub(since)).To(BeNumerically("~", b.gateway.settings.SwapWithin-beginGuard, 150*time.Millisecond))
+		Expect((<-disconnected).Sub(since)).To(BeNumerically("~", b.gateway.settings.SwapWithin-giveUpMargin, 150*time.Millisecond))
 	})
 
-	It("is given up also where the newer version is named while it waits at the upstream", func() {
+	It("is cancelled even if the newer version is published while it waits at the upstream", func() {
 		r := route(catalog.Streaming, "engines")
 		r.Timeout = 5 * time.Second
 		b := newTestbed(r)
-		b.gateway.budget = placement.NewRetryBudget(placement.RetryBudgetRule{Window: time.Second}, func() int { return 1 }, time.Now)
-		gone := make(chan time.Time, 1)
+		b.gateway.retryBudget = placement.NewRetryBudget(placement.RetryBudgetRule{Window: time.Second}, func() int { return 1 }, time.Now)
+		disconnected := make(chan time.Time, 1)
 		arrived := make(chan struct{})
-		b.upstream("frozen", "engines", func(_ *http.Request, _ string, c net.Conn) {
+		b.addUpstream("frozen", "engines", func(_ *http.Request, _ string, c net.Conn) {
 			close(arrived)
 			_, _ = c.Read(make([]byte, 1))
-			gone <- time.Now()
+			disconnected <- time.Now()
 		})
 		b.gateway.settings.SwapWithin = swapMargin + 300*time.Millisecond
 		since := make(chan time.Time, 1)
 		go func() {
 			<-arrived
 			since <- time.Now()
-			b.facts.SetWanted("m", secondNamed())
+			b.facts.SetWanted("m", newSecondVersion())
 		}()
-		_, _, err := b.ask("POST", "/p/", "x", xModel, "m")
+		_, _, err := b.sendRequest("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
-		Expect((<-gone).Sub(<-since)).To(BeNumerically("~", b.gateway.settings.SwapWithin-beginGuard, 150*time.Millisecond))
+		Expect((<-disconnected).Sub(<-since)).To(BeNumerically("~", b.gateway.settings.SwapWithin-giveUpMargin, 150*time.Millisecond))
 	})
 
-	It("is given up at once where the date that gave its version time is withdrawn while it waits", func() {
+	It("is cancelled at once if the publication time that gave its version a grace period is withdrawn while it waits", func() {
 		r := route(catalog.Streaming, "engines")
 		r.Timeout = 5 * time.Second
 		b := newTestbed(r)
-		b.gateway.budget = placement.NewRetryBudget(placement.RetryBudgetRule{Window: time.Second}, func() int { return 1 }, time.Now)
-		gone := make(chan time.Time, 1)
+		b.gateway.retryBudget = placement.NewRetryBudget(placement.RetryBudgetRule{Window: time.Second}, func() int { return 1 }, time.Now)
+		disconnected := make(chan time.Time, 1)
 		arrived := make(chan struct{})
-		b.upstream("frozen", "engines", func(_ *http.Request, _ string, c net.Conn) {
+		b.addUpstream("frozen", "engines", func(_ *http.Request, _ string, c net.Conn) {
 			close(arrived)
 			_, _ = c.Read(make([]byte, 1))
-			gone <- time.Now()
+			disconnected <- time.Now()
 		})
-		b.facts.SetWanted("m", secondNamed())
+		b.facts.SetWanted("m", newSecondVersion())
 		b.gateway.settings.SwapWithin = swapMargin + 2*time.Second
 		since := make(chan time.Time, 1)
 		go func() {
@@ -231,22 +231,22 @@
 			since <- time.Now()
 			b.facts.MergePublishTime("m", 2, dating.TimeBounds{KnownAt: time.Now().Add(-time.Minute)})
 		}()
-		_, _, err := b.ask("POST", "/p/", "x", xModel, "m")
+		_, _, err := b.sendRequest("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
-		Expect((<-gone).Sub(<-since)).To(BeNumerically("<", 2*beginGuard))
+		Expect((<-disconnected).Sub(<-since)).To(BeNumerically("<", 2*giveUpMargin))
 	})
 
-	It("is given up at once where a newer version of which nobody knows the date is read of while it waits", func() {
+	It("is cancelled at once if a newer version with unknown publication time becomes known while it waits", func() {
 		r := route(catalog.Streaming, "engines")
 		r.Timeout = 5 * time.Second
 		b := newTestbed(r)
-		b.gateway.budget = placement.NewRetryBudget(placement.RetryBudgetRule{Window: time.Second}, func() int { return 1 }, time.Now)
-		gone := make(chan time.Time, 1)
+		b.gateway.retryBudget = placement.NewRetryBudget(placement.RetryBudgetRule{Window: time.Second}, func() int { return 1 }, time.Now)
+		disconnected := make(chan time.Time, 1)
 		arrived := make(chan struct{})
-		b.upstream("frozen", "engines", func(_ *http.Request, _ string, c net.Conn) {
+		b.addUpstream("frozen", "engines", func(_ *http.Request, _ string, c net.Conn) {
 			close(arrived)
 			_, _ = c.Read(make([]byte, 1))
-			gone <- time.Now()
+			disconnected <- time.Now()
 		})
 		b.gateway.settings.SwapWithin = swapMargin + 2*time.Second
 		since := make(chan time.Time, 1)
@@ -255,25 +255,25 @@
 			since <- time.Now()
 			b.facts.SetWanted("m", facts.Publication{Revision: 2})
 		}()
-		_, _, err := b.ask("POST", "/p/", "x", xModel, "m")
+		_, _, err := b.sendRequest("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
-		Expect((<-gone).Sub(<-since)).To(BeNumerically("<", 2*beginGuard))
+		Expect((<-disconnected).Sub(<-since)).To(BeNumerically("<", 2*giveUpMargin))
 	})
 
-	It("is refused at once where every upstream is too busy to be in time", func() {
+	It("is refused at once if every upstream is too busy to begin in time", func() {
 		r := route(catalog.Streaming, "engines")
 		r.Aim = 50 * time.Millisecond
 		b := newTestbed(r)
-		b.upstream("u", "engines", resume)
+		b.addUpstream("u", "engines", resume)
 		b.tracker.SetReport(b.facts.Instances()[0].Address, placement.LoadReport{
 			Running: 4, Waiting: 30, Held: []facts.Held{{Model: "m", Revision: 1}}, ReceivedAt: time.Now(),
 		})
 		start := time.Now()
-		a, _, err := b.ask("POST", "/p/", "x", xModel, "m")
+		a, _, err := b.sendRequest("POST", "/p/", "x", xModel, "m")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.StatusCode).To(Equal(503))
 		Expect(time.Since(start)).To(BeNumerically("<", 50*time.Millisecond))
-		Expect(b.runs("1")).To(BeZero())
+		Expect(b.upstreamCount("1")).To(BeZero())
 	})
 })
 
@@ -282,19 +282,19 @@
 	f.Add([]byte("\n\n\n"), 1)
 	f.Fuzz(func(t *testing.T, b []byte, step int) {
 		step = max(1, step%17)
-		var whole, pieces events
-		one := string(whole.feed(b, true))
+		var whole, pieces eventSplitter
+		atOnce := string(whole.feed(b, true))
 		var all strings.Builder
 		for i := 0; i < len(b); i += step {
 			all.Write(pieces.feed(b[i:min(len(b), i+step)], true))
 		}
-		if all.String() != one || pieces.last != whole.last {
-			t.Fatalf("%q in pieces of %d, %q at once", all.String(), step, one)
+		if all.String() != atOnce || pieces.lastID != whole.lastID {
+			t.Fatalf("%q in pieces of %d, %q at once", all.String(), step, atOnce)
 		}
 	})
 }
 
-// secondNamed is what a process has read of a second version that is named just now.
-func secondNamed() facts.Publication {
+// newSecondVersion is the record of a second version that is published at this moment.
+func newSecondVersion() facts.Publication {
 	return facts.Publication{Revision: 2, PublishTime: dating.TimeBounds{After: time.Now()}, CompleteUntil: time.Now()}
 }
--- a/internal/gateway/suspension.go
+++ b/internal/gateway/suspension.go
@@ -8,45 +8,46 @@
 )
 
 const (
-	// suspensionLook is how often a gateway looks whether its VM was suspended: requests whose time has passed
-	// meanwhile get their answer so late at most, and 0.5 s is what users allow.
-	suspensionLook = 100 * time.Millisecond
-	// suspensionLeast is the shortest suspension that is acted upon: timers are late by as much anyway on a busy VM.
-	suspensionLeast = 20 * time.Millisecond
-	// wakingGrace is how long after waking a request may still get the answer that came meanwhile although its time is over.
-	wakingGrace = 200 * time.Millisecond
+	// suspensionPollInterval is how often a gateway checks whether its VM was suspended. It bounds the delay of
+	// responses to requests whose deadline passed meanwhile; users allow 0.5 s.
+	suspensionPollInterval = 100 * time.Millisecond
+	// minSuspension is the shortest suspension that is acted upon: timers on a busy VM are late by as much anyway.
+	minSuspension = 20 * time.Millisecond
+	// wakeGracePeriod is how long after a suspension a request past its deadline may still receive a response that
+	// arrived meanwhile.
+	wakeGracePeriod = 200 * time.Millisecond
 )
 
-// watchSuspensions looks for suspensions of the VM until the context ends. Timers stand still in one, so that without
-// this a request would be held beyond its time by as long as the suspension was.
+// watchSuspensions detects suspensions of the VM until the context ends. Timers stop during a suspension, so that a
+// request would otherwise outlive its deadline by the length of the suspension.
 func (g *Gateway) watchSuspensions(ctx context.Context) {
-	for known := g.suspended(); ctx.Err() == nil; kernel.Pause(ctx, suspensionLook) {
-		if now := g.suspended(); now-known >= suspensionLeast {
-			g.woke(now - known)
+	for known := g.suspended(); ctx.Err() == nil; kernel.Pause(ctx, suspensionPollInterval) {
+		if now := g.suspended(); now-known >= minSuspension {
+			g.resetDeadlines(now - known)
 			known = now
 		}
 	}
 }
 
-// woke sets the ends of all requests anew after a suspension.
-func (g *Gateway) woke(d time.Duration) {
-	g.tally.add("suspensions")
-	g.log.Warn().Int64("suspended_ms", d.Milliseconds()).Int64("in_flight", g.inFlight.Load()).Msg("this VM was suspended")
-	g.flights.each(func(f *flight) {
-		if f.over != nil {
-			f.over.Stop()
+// resetDeadlines restarts the deadline timers of all requests after a suspension.
+func (g *Gateway) resetDeadlines(suspended time.Duration) {
+	g.metrics.count("suspensions")
+	g.log.Warn().Int64("suspended_ms", suspended.Milliseconds()).Int64("in_flight", g.inFlight.Load()).Msg("this VM was suspended")
+	g.requests.each(func(f *callerRequest) {
+		if f.resumeTimer != nil {
+			f.resumeTimer.Stop()
 		}
-		f.over = time.AfterFunc(max(f.left(), wakingGrace), func() { f.stop(context.DeadlineExceeded) })
+		f.resumeTimer = time.AfterFunc(max(f.remaining(), wakeGracePeriod), func() { f.cancel(context.DeadlineExceeded) })
 	})
 }
 
-// each calls a function with each request under way, under the lock.
-func (l *flights) each(do func(f *flight)) {
+// each calls a function for each request in flight while holding the mutex.
+func (l *requestRegistry) each(visit func(f *callerRequest)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, same := range l.of {
+	for _, same := range l.byFingerprint {
 		for f := range same {
-			do(f)
+			visit(f)
 		}
 	}
 }
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -8,39 +8,39 @@
 	"github.com/springrail/springrail/internal/placement"
 )
 
-// noteUpstream takes what an answer says of its upstream itself.
-func (t *attempt) noteUpstream(v ResponseMeta) {
-	f := t.flight
+// noteResponse records what a response states about its upstream.
+func (t *attempt) noteResponse(v ResponseMeta) {
+	f := t.request
 	t.noteLimit(v.Limit)
 	f.upstreamLeaving, f.upstreamRest = v.Leaving, v.Rest
 	if v.Leaving {
 		f.gateway.noteLeaving(t.choice)
 	}
 	if v.Rest > 0 {
-		t.noteRest(v.Rest)
+		t.noteBackoff(v.Rest)
 	}
 }
 
-// noteLeaving has nothing more sent to a start of an upstream whose answer says that it leaves.
+// noteLeaving excludes the process lifetime of an upstream whose response says that it is draining.
 func (g *Gateway) noteLeaving(c placement.Choice) {
-	g.tally.add("answers_of_leaving_upstreams")
+	g.metrics.count("answers_of_leaving_upstreams")
 	if g.facts.MarkLeaving(c.Instance, c.Incarnation) {
-		g.log.Info().Str("instance", string(c.Instance)).Str("upstream", c.Address).Msg("upstream leaves by its own answer")
+		g.log.Info().Str("instance", string(c.Instance)).Str("upstream", c.Address).Msg("upstream is draining, as stated in its response")
 	}
 }
 
-// noteRest has nothing sent to an upstream for a time that it has asked for.
-func (t *attempt) noteRest(d time.Duration) {
-	g, c := t.flight.gateway, t.choice
-	g.tally.add("answers_that_ask_for_rest")
-	if t.mark.RecordRest(c.Instance, d) {
+// noteBackoff excludes an upstream for the pause that it has asked for.
+func (t *attempt) noteBackoff(d time.Duration) {
+	g, c := t.request.gateway, t.choice
+	g.metrics.count("answers_that_ask_for_rest")
+	if t.tracked.RecordRest(c.Instance, d) {
 		g.log.Info().Str("instance", string(c.Instance)).Str("upstream", c.Address).Int64("rest_ms", d.Milliseconds()).
-			Msg("upstream asks for rest")
+			Msg("upstream asked for a pause in its response")
 	}
 }
 
-// logUpstream adds to a request's line what its newest answer said of the upstream itself.
-func (f *flight) logUpstream(e *log.Entry) *log.Entry {
+// logUpstream adds what the newest response stated about its upstream to the request's log line.
+func (f *callerRequest) logUpstream(e *log.Entry) *log.Entry {
 	if f.upstreamLeaving {
 		e = e.Bool("upstream_leaving", true)
 	}
--- a/internal/gateway/versionend.go
+++ b/internal/gateway/versionend.go
@@ -7,52 +7,54 @@
 	"github.com/springrail/springrail/internal/placement"
 )
 
-// beginGuard is taken off a version's time: the upstream needs to see that the request is given up.
-const beginGuard = 200 * time.Millisecond
-
-// lookAgain is how often the end of a version's time is looked at while a request waits: a date that was too late may
-// be withdrawn, and a newer version that is read of late may leave no time. A look takes 1 us where 256 versions are
-// remembered.
-const lookAgain = beginGuard
-
-// beginBy is when a request that has not begun by then must be given up at an upstream, because the version there may begin
-// none any more; zero where nothing ends. It guards against an upstream that freezes with the request in its queue and
-// begins it when it wakes, and costs nothing while none does: upstreams that lag behind need not be left out for it in the
-// second half of the time for a swap.
-func (f *flight) beginBy(c placement.Choice) time.Time {
-	return f.gateway.desk().BeginDeadline(f.ask.Model, c.Revision)
+// giveUpMargin is subtracted from the end of a version's grace period, as the upstream needs time to notice the
+// cancellation.
+const giveUpMargin = 200 * time.Millisecond
+
+// versionCheckInterval is how often the end of a version's grace period is checked while a request waits: a
+// publication time that was too late may be corrected, and a newer version that is learnt of late may leave no
+// time. A check takes 1 us with 256 versions in memory.
+const versionCheckInterval = giveUpMargin
+
+// beginDeadline returns when a request that has not begun must be cancelled at an upstream because its version may
+// begin no more requests; zero if there is no such time. It guards against an upstream that freezes with the
+// request in its queue and begins it when it resumes. It costs nothing while upstreams respond: slow ones need not
+// be excluded in the second half of a grace period because of such freezes.
+func (f *callerRequest) beginDeadline(c placement.Choice) time.Time {
+	return f.gateway.balancer().BeginDeadline(f.meta.Model, c.Revision)
 }
 
-// BeginDeadline is when a request that has not begun on a version by then must be given up; zero where nothing ends.
+// BeginDeadline returns when a request must be cancelled that an upstream with the given version has not begun;
+// zero if there is no such time.
 func (d *Balancer) BeginDeadline(m id.Model, r id.Revision) time.Time {
-	until := d.Facts.ServableUntil(m, r, d.SwapWithin)
-	if until.IsZero() {
-		return until
+	versionEnd := d.Facts.ServableUntil(m, r, d.SwapWithin)
+	if versionEnd.IsZero() {
+		return versionEnd
 	}
-	return until.Add(-beginGuard)
+	return versionEnd.Add(-giveUpMargin)
 }
 
-// watchVersion gives the request up at an upstream that has not begun it when its version's time is over, also where the
-// newer version is named only while the request waits.
-func (t *attempt) watchVersion() {
-	t.versionEnd = time.AfterFunc(t.flight.gateway.settings.SwapWithin, t.checkVersion)
-	t.checkVersion()
+// startVersionTimer cancels the request at an upstream that has not begun it when the grace period of its version
+// ends, even if the newer version is published while the request waits.
+func (t *attempt) startVersionTimer() {
+	t.versionTimer = time.AfterFunc(t.request.gateway.settings.SwapWithin, t.checkVersionDeadline)
+	t.checkVersionDeadline()
 }
 
-// checkVersion gives the request up, or says when to look again.
-func (t *attempt) checkVersion() {
-	if t.answering.Load() || t.ctx.Err() != nil {
+// checkVersionDeadline cancels the request if its version's grace period has ended, or schedules the next check.
+func (t *attempt) checkVersionDeadline() {
+	if t.answerStarted.Load() || t.ctx.Err() != nil {
 		return
 	}
-	g := t.flight.gateway
-	until, now := t.flight.beginBy(t.choice), g.now()
+	g := t.request.gateway
+	deadline, now := t.request.beginDeadline(t.choice), g.now()
 	switch {
-	case until.IsZero():
-		t.versionEnd.Reset(lookAgain)
-	case now.Before(until):
-		t.versionEnd.Reset(min(until.Sub(now), lookAgain))
+	case deadline.IsZero():
+		t.versionTimer.Reset(versionCheckInterval)
+	case now.Before(deadline):
+		t.versionTimer.Reset(min(deadline.Sub(now), versionCheckInterval))
 	default:
-		g.tally.add("version_ended_before_begin")
-		t.stop(errVersionOver)
+		g.metrics.count("version_ended_before_begin")
+		t.cancel(errVersionOver)
 	}
 }
