--- a/internal/router/choose.go
+++ b/internal/router/choose.go
@@ -1,4 +1,5 @@
-// Package router decides which upstream a request goes to. It is pure.
+// Package router tracks which upstreams can take requests from this entry and selects one for each request. An
+// entry is a process that accepts callers' requests.
 package router
 
 import (
@@ -14,36 +15,36 @@
 	Address string
 	// Rollout is the rollout that the upstream serves; empty for a plain service.
 	Rollout id.Rollout
-	// Local is true in the entry's own failure domain.
+	// Local is true if the upstream is in the failure domain of this entry.
 	Local bool
-	// InFlight is the number of requests that this entry has there.
+	// InFlight is the number of requests from this entry that the upstream is running.
 	InFlight int
-	// Unreachable is true shortly after the VM took no connection.
+	// Unreachable is true for a short time after the VM refused a connection.
 	Unreachable bool
-	// ReportedInFlight is the number that the upstream had by its last report, others' included.
+	// ReportedInFlight is the number of requests in the upstream's last report, including those from other entries.
 	ReportedInFlight int
 }
 
-// load estimates how busy a candidate is: the lagging report covers what this entry had there then.
+// load estimates how busy a candidate is. The report lags, but it includes the requests of this entry at that time.
 func (c Candidate) load() int {
 	return max(c.InFlight, c.ReportedInFlight)
 }
 
-// boundedLoad is the load above the mean, as a factor, beyond which affinity to a prompt prefix gives way.
-const boundedLoad = 1.25
+// maxLoadFactor is the load relative to the mean above which prefix affinity is ignored.
+const maxLoadFactor = 1.25
 
-// Choose picks the upstream for a request among candidates not tried before, or returns false. An affinity key keeps
-// requests of one prompt prefix together while that upstream is at most boundedLoad times as busy as the mean; other
-// requests take the less busy of two at random.
+// Choose selects the upstream for a request among the candidates not tried before, or returns false. An affinity
+// key keeps requests with the same prompt prefix on one upstream while its load is below maxLoadFactor times the
+// mean; other requests go to the less loaded of two random candidates.
 func Choose(all []Candidate, tried map[id.VM]bool, affinity string, r *rand.Rand) (Candidate, bool) {
-	l := nearest(taking(all, tried), tried)
+	l := preferLocal(reachable(all, tried), tried)
 	switch {
 	case len(l) == 0:
 		return Candidate{}, false
 	case len(l) == 1:
 		return l[0], true
 	case affinity != "":
-		if c, ok := affine(l, affinity); ok {
+		if c, ok := chooseByAffinity(l, affinity); ok {
 			return c, true
 		}
 	}
@@ -55,9 +56,9 @@
 	return a, true
 }
 
-// taking leaves out the candidates that took no connection a moment ago, unless all untried ones did. An idle VM that has
-// ended looks like the least busy one until its status says so.
-func taking(all []Candidate, tried map[id.VM]bool) []Candidate {
+// reachable excludes the candidates that have just refused a connection, unless all untried ones have. An idle VM
+// that has terminated looks like the least loaded one until its status is updated.
+func reachable(all []Candidate, tried map[id.VM]bool) []Candidate {
 	var l []Candidate
 	for _, c := range all {
 		if !c.Unreachable && !tried[c.VM] {
@@ -70,26 +71,26 @@
 	return all
 }
 
-// nearest returns the untried candidates of the own failure domain, or where there are none, of the others.
-func nearest(all []Candidate, tried map[id.VM]bool) []Candidate {
-	var near, far []Candidate
+// preferLocal returns the untried candidates in the same failure domain, or if there are none, those in the others.
+func preferLocal(all []Candidate, tried map[id.VM]bool) []Candidate {
+	var local, remote []Candidate
 	for _, c := range all {
 		switch {
 		case tried[c.VM]:
 		case c.Local:
-			near = append(near, c)
+			local = append(local, c)
 		default:
-			far = append(far, c)
+			remote = append(remote, c)
 		}
 	}
-	if len(near) > 0 {
-		return near
+	if len(local) > 0 {
+		return local
 	}
-	return far
+	return remote
 }
 
-// affine walks the rendezvous order of the key to the first candidate that is not too busy.
-func affine(l []Candidate, key string) (Candidate, bool) {
+// chooseByAffinity returns the first candidate in the key's rendezvous order that is not overloaded.
+func chooseByAffinity(l []Candidate, key string) (Candidate, bool) {
 	total := 1
 	byVM := map[id.VM]Candidate{}
 	var vms []id.VM
@@ -98,16 +99,17 @@
 		byVM[c.VM] = c
 		vms = append(vms, c.VM)
 	}
-	limit := boundedLoad * float64(total) / float64(len(l))
+	maxLoad := maxLoadFactor * float64(total) / float64(len(l))
 	for _, v := range rendezvous.Order(key, vms) {
-		if c := byVM[v]; float64(c.load()) < limit {
+		if c := byVM[v]; float64(c.load()) < maxLoad {
 			return c, true
 		}
 	}
 	return Candidate{}, false
 }
 
-// KeyOwner is the one candidate that a request of an idempotency key may go to: entries with the same list agree.
+// KeyOwner returns the only candidate that may run requests with an idempotency key. All entries with the same list
+// of candidates choose the same one.
 func KeyOwner(all []Candidate, key string) (Candidate, bool) {
 	byVM := map[id.VM]Candidate{}
 	var vms []id.VM
--- a/internal/router/choose_test.go
+++ b/internal/router/choose_test.go
@@ -21,7 +21,7 @@
 	var l []Candidate
 	for i := range rapid.IntRange(0, 12).Draw(t, "candidates") {
 		l = append(l, Candidate{
-			VM: id.VM(fmt.Sprint(i)), Local: rapid.Bool().Draw(t, "near"),
+			VM: id.VM(fmt.Sprint(i)), Local: rapid.Bool().Draw(t, "local"),
 			InFlight: rapid.IntRange(0, 50).Draw(t, "in flight"), ReportedInFlight: rapid.IntRange(0, 50).Draw(t, "reported"),
 		})
 	}
@@ -29,33 +29,33 @@
 }
 
 var _ = Describe("a choice", func() {
-	It("is an untried candidate, of the own domain while there is one, whenever there is any", func() {
+	It("is an untried candidate if there is one, in the same failure domain if possible", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			l := drawCandidates(t)
 			tried := map[id.VM]bool{}
-			left, near := 0, 0
+			untried, local := 0, 0
 			for _, c := range l {
 				if rapid.Bool().Draw(t, "tried") {
 					tried[c.VM] = true
 					continue
 				}
-				left++
+				untried++
 				if c.Local {
-					near++
+					local++
 				}
 			}
 			key := rapid.SampledFrom([]string{"", "prefix"}).Draw(t, "affinity")
 			c, ok := Choose(l, tried, key, rand.New(rand.NewPCG(1, 2)))
-			if ok != (left > 0) {
-				t.Fatalf("%d left, but found is %v", left, ok)
+			if ok != (untried > 0) {
+				t.Fatalf("%d candidates untried, but found is %v", untried, ok)
 			}
-			if ok && (tried[c.VM] || near > 0 && !c.Local) {
+			if ok && (tried[c.VM] || local > 0 && !c.Local) {
 				t.Fatalf("chose %+v", c)
 			}
 		})
 	})
 
-	It("leaves a VM alone that took no connection a moment ago, also where it looks idle, unless no other is left", func() {
+	It("avoids a VM that has just refused a connection, even if it looks idle, unless no other is untried", func() {
 		l := []Candidate{{VM: "ended", Local: true, Unreachable: true}, {VM: "busy", Local: true, InFlight: 40}, {VM: "far"}}
 		r := rand.New(rand.NewPCG(1, 2))
 		for range 50 {
@@ -69,7 +69,7 @@
 		}
 	})
 
-	It("keeps a prompt prefix on one upstream until that is busier than the others by a quarter", func() {
+	It("keeps a prompt prefix on one upstream until its load exceeds the mean by a quarter", func() {
 		l := []Candidate{{VM: "a"}, {VM: "b"}, {VM: "c"}, {VM: "d"}}
 		r := rand.New(rand.NewPCG(1, 2))
 		first, _ := Choose(l, nil, "prefix", r)
@@ -87,7 +87,7 @@
 		Expect(other.VM).NotTo(Equal(first.VM))
 	})
 
-	It("goes to one home for a key, whatever the order of the list", func() {
+	It("is the same owner for a key, whatever the order of the list", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			l := drawCandidates(t)
 			a, ok := KeyOwner(l, "key")
--- a/internal/router/open.go
+++ b/internal/router/gates.go
@@ -9,52 +9,52 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// gate names a rollout in a failure domain.
-type gate struct {
+// rolloutDomain identifies a rollout in a failure domain.
+type rolloutDomain struct {
 	rollout id.Rollout
 	domain  id.Domain
 }
 
-// Gates remembers which rollouts a failure domain sends traffic to. Once open, a gate stays open until the rollout
-// is cancelled, so that VMs that fail do not close it.
+// Gates records which rollouts receive traffic in which failure domains. Once open, a gate stays open until the
+// rollout is cancelled, so that failing VMs do not close it.
 type Gates struct {
-	open map[gate]bool
+	opened map[rolloutDomain]bool
 }
 
-// NewGates makes closed gates.
+// NewGates returns gates that are all closed.
 func NewGates() *Gates {
-	return &Gates{open: map[gate]bool{}}
+	return &Gates{opened: map[rolloutDomain]bool{}}
 }
 
-// Update opens the gates that may open and returns those that are new.
+// Update opens the gates whose conditions are met and returns the newly opened ones.
 func (g *Gates) Update(s *config.State, statuses []*pb.VMStatus, now time.Time) []*pb.DomainProgress {
 	var opened []*pb.DomainProgress
 	rollouts := s.Rollouts()
 	for _, r := range rollouts {
 		for d, ready := range readyByDomain(r, s, statuses) {
-			k := gate{rollout: id.Rollout(r.GetId()), domain: d}
-			if !g.open[k] && activation.AcceptsTraffic(r, ready, now) {
-				g.open[k] = true
+			k := rolloutDomain{rollout: id.Rollout(r.GetId()), domain: d}
+			if !g.opened[k] && activation.AcceptsTraffic(r, ready, now) {
+				g.opened[k] = true
 				opened = append(opened, &pb.DomainProgress{Rollout: r.GetId(), Domain: string(d), Ready: uint32(ready)})
 			}
 		}
 	}
-	for k := range g.open {
+	for k := range g.opened {
 		r := s.Rollout(k.rollout)
 		if r == nil || r.GetState() == pb.RolloutState_ROLLOUT_STATE_CANCELLED {
-			delete(g.open, k)
+			delete(g.opened, k)
 		}
 	}
 	return opened
 }
 
-// IsOpen says whether a failure domain sends traffic to a rollout.
+// IsOpen reports whether a failure domain sends traffic to a rollout.
 func (g *Gates) IsOpen(r id.Rollout, d id.Domain) bool {
-	return g.open[gate{rollout: r, domain: d}]
+	return g.opened[rolloutDomain{rollout: r, domain: d}]
 }
 
-// readyByDomain counts the VMs that serve a rollout or have moved on from it to a later one of the same model. The
-// latter count so that an entry that starts during a swap does not close the old version's gate.
+// readyByDomain counts, per failure domain, the VMs that serve a rollout or a later one of the same model. The
+// latter count so that an entry that starts during a version swap does not close the gate of the old version.
 func readyByDomain(r *pb.Rollout, s *config.State, statuses []*pb.VMStatus) map[id.Domain]int {
 	n := map[id.Domain]int{}
 	for _, m := range statuses {
--- a/internal/router/part.go
+++ b/internal/router/part.go
@@ -13,11 +13,11 @@
 	"github.com/springrail/springrail/internal/membership"
 )
 
-// PartName is what other parts name in their needs.
+// PartName is the name under which other parts declare a dependency on the router.
 const PartName = "router"
 
-// refreshEvery is the longest time between two looks at the gates, for those that open by the clock.
-const refreshEvery = 100 * time.Millisecond
+// refreshInterval is the maximum time between two evaluations of the gates, some of which open at a given time.
+const refreshInterval = 100 * time.Millisecond
 
 func init() {
 	kernel.Register(kernel.Part{
@@ -31,19 +31,19 @@
 	})
 }
 
-// modelKey names a model of an organisation.
+// modelKey identifies a model of an organisation.
 type modelKey struct {
 	organisation id.Organisation
 	model        id.Model
 }
 
-// view is what the router knows at one time.
+// view is a snapshot of the upstreams that can take requests.
 type view struct {
 	models   map[modelKey][]Candidate
 	services map[id.Pool][]Candidate
 }
 
-// Router knows the upstreams that may take requests.
+// Router tracks the upstreams that can take requests and their load.
 type Router struct {
 	domain   id.Domain
 	state    func() *config.State
@@ -52,22 +52,23 @@
 	list     *membership.List
 	events   *kernel.EventRing
 
-	mu       sync.Mutex
-	gates    *Gates
-	view     view
-	inFlight map[id.VM]int
-	reported map[id.VM]int
-	// refusing says until when a VM that took no connection is left alone.
-	refusing map[id.VM]time.Time
+	mu               sync.Mutex
+	gates            *Gates
+	view             view
+	inFlight         map[id.VM]int
+	reportedInFlight map[id.VM]int
+	// unreachableUntil is when a VM that refused a connection is considered again.
+	unreachableUntil map[id.VM]time.Time
 }
 
-// New makes a router with its seams: the configuration, the statuses with their change signal, and the VM list.
+// New returns a router. The configuration, the VM statuses with their change signal, and the VM list are passed in
+// so that tests can replace them.
 func New(d id.Domain, state func() *config.State, statuses func() []*pb.VMStatus, changed func() <-chan struct{},
 	list *membership.List, e *kernel.EventRing,
 ) *Router {
 	return &Router{
 		domain: d, state: state, statuses: statuses, changed: changed, list: list, events: e,
-		gates: NewGates(), inFlight: map[id.VM]int{}, reported: map[id.VM]int{}, refusing: map[id.VM]time.Time{},
+		gates: NewGates(), inFlight: map[id.VM]int{}, reportedInFlight: map[id.VM]int{}, unreachableUntil: map[id.VM]time.Time{},
 	}
 }
 
@@ -79,7 +80,7 @@
 		select {
 		case <-ctx.Done():
 		case <-changed:
-		case <-time.After(refreshEvery):
+		case <-time.After(refreshInterval):
 		}
 	}
 	return nil
@@ -97,13 +98,14 @@
 	}
 	v := view{models: map[modelKey][]Candidate{}, services: map[id.Pool][]Candidate{}}
 	for _, s := range statuses {
-		r.place(&v, s)
+		r.addToView(&v, s)
 	}
 	r.view = v
 }
 
-// place adds a VM to the view unless it leaves, by its own word or by the list's, or its upstream is down.
-func (r *Router) place(v *view, s *pb.VMStatus) {
+// addToView adds a VM to the view unless it is draining, according to itself or to the VM list, or its upstream is
+// down.
+func (r *Router) addToView(v *view, s *pb.VMStatus) {
 	name := id.VM(s.GetVm().GetId())
 	if s.GetLeaving() || !s.GetUpstreamUp() || r.list.Find(name).GetLeaving() {
 		return
@@ -128,19 +130,19 @@
 func (r *Router) ModelCandidates(o id.Organisation, m id.Model) []Candidate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.loaded(r.view.models[modelKey{organisation: o, model: m}])
+	return r.withLoad(r.view.models[modelKey{organisation: o, model: m}])
 }
 
 // ServiceCandidates returns the upstreams of a plain service.
 func (r *Router) ServiceCandidates(p id.Pool) []Candidate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.loaded(r.view.services[p])
+	return r.withLoad(r.view.services[p])
 }
 
-// KeyOwner is the VM that a request of an idempotency key belongs to, among all VMs that the platform lists for the
-// service, or for the model's current rollout. It does not look at which of them answer: a key whose home is silent
-// must not move to another VM, as the silent one may have run it.
+// KeyOwner returns the VM that runs requests with an idempotency key, among all VMs that the platform lists for the
+// service or for the model's current rollout. It ignores whether they respond: if the owner does not, the key must
+// not move to another VM, as the owner may have run the request.
 func (r *Router) KeyOwner(o id.Organisation, m id.Model, service id.Pool, key string) (id.VM, bool) {
 	rollout := r.state().Current(o, m)
 	var l []Candidate
@@ -157,17 +159,17 @@
 	return c.VM, ok
 }
 
-func (r *Router) loaded(l []Candidate) []Candidate {
+func (r *Router) withLoad(l []Candidate) []Candidate {
 	out := make([]Candidate, len(l))
 	for i, c := range l {
-		c.InFlight, c.ReportedInFlight = r.inFlight[c.VM], r.reported[c.VM]
-		c.Unreachable = time.Now().Before(r.refusing[c.VM])
+		c.InFlight, c.ReportedInFlight = r.inFlight[c.VM], r.reportedInFlight[c.VM]
+		c.Unreachable = time.Now().Before(r.unreachableUntil[c.VM])
 		out[i] = c
 	}
 	return out
 }
 
-// Models lists the models of an organisation that can be reached.
+// Models returns the models of an organisation that are reachable.
 func (r *Router) Models(o id.Organisation) []id.Model {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -180,15 +182,15 @@
 	return l
 }
 
-// IsOpen says whether this entry sends traffic to a rollout in a failure domain.
+// IsOpen reports whether this entry sends traffic to a rollout in a failure domain.
 func (r *Router) IsOpen(name id.Rollout, d id.Domain) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.gates.IsOpen(name, d)
 }
 
-// BeginRequest counts a request towards an upstream; the caller calls the result when it has ended, with the load that the
-// answer carried or nil.
+// BeginRequest counts a request in flight to an upstream. The caller calls the returned function when the request
+// has ended, with the load stated in the response or nil.
 func (r *Router) BeginRequest(v id.VM) func(l *pb.Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -201,24 +203,24 @@
 			delete(r.inFlight, v)
 		}
 		if l != nil {
-			r.reported[v] = int(l.GetRunning() + l.GetQueued())
+			r.reportedInFlight[v] = int(l.GetRunning() + l.GetQueued())
 		}
 	}
 }
 
-// refusingFor is how long a VM that took no connection is left alone where others are to be had: its status says within
-// about a second that it has ended.
-const refusingFor = time.Second
+// unreachableFor is how long a VM that refused a connection is avoided if others are available: its status shows
+// within about a second that it has terminated.
+const unreachableFor = time.Second
 
-// MarkUnreachable notes that a VM took no connection.
+// MarkUnreachable records that a VM refused a connection.
 func (r *Router) MarkUnreachable(v id.VM) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	for name, until := range r.refusing {
+	for name, until := range r.unreachableUntil {
 		if now.After(until) {
-			delete(r.refusing, name)
+			delete(r.unreachableUntil, name)
 		}
 	}
-	r.refusing[v] = now.Add(refusingFor)
+	r.unreachableUntil[v] = now.Add(unreachableFor)
 }
