--- a/internal/dispatch/try.go
+++ b/internal/dispatch/attempt.go
@@ -14,64 +14,64 @@
 	"github.com/springrail/springrail/internal/rpc"
 )
 
-// try is one offer of a request to one upstream.
-type try struct {
+// attempt is one attempt to run a request on one upstream.
+type attempt struct {
 	dispatcher *Dispatcher
 	request    *Request
 	candidate  router.Candidate
 	sink       Sink
-	// started is true once the caller has seen a part of the answer.
-	started bool
-	bytes   uint64
+	// answerStarted is true once the caller has received a part of the response.
+	answerStarted bool
+	bytesReceived uint64
 }
 
-func (t *try) run(ctx context.Context) error {
+func (t *attempt) run(ctx context.Context) error {
 	m := proto.CloneOf(t.request.Message)
 	m.Rollout = string(t.candidate.Rollout)
 	m.RemainingMs = time.Until(t.request.Deadline).Milliseconds()
-	done := t.dispatcher.router.BeginRequest(t.candidate.VM)
+	endRequest := t.dispatcher.router.BeginRequest(t.candidate.VM)
 	var load *pb.Load
-	defer func() { done(load) }()
+	defer func() { endRequest(load) }()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	stream, err := t.dispatcher.upstream(t.candidate.Address).Run(ctx, m)
 	if err != nil {
-		return t.broken(err)
+		return t.connectionError(err)
 	}
 	defer stream.Close()
 	for stream.Receive() {
 		p := stream.Msg()
 		if p.GetRequestId() != m.GetRequestId() {
-			return t.unknown("an answer of another request came")
+			return t.unknownOutcome("an answer of another request came")
 		}
 		if e := p.GetEnd(); e != nil {
 			load = e.GetLoad()
 			return t.finish(e)
 		}
-		if err := t.take(p); err != nil {
+		if err := t.handlePart(p); err != nil {
 			return err
 		}
 	}
 	if stream.Err() == nil {
-		return t.unknown("the answer ended without its end mark")
+		return t.unknownOutcome("the answer ended without its end mark")
 	}
-	return t.broken(stream.Err())
+	return t.connectionError(stream.Err())
 }
 
-// take passes a part on, or returns how the try ended.
-func (t *try) take(p *pb.RunResponse) error {
+// handlePart forwards a part of the response, or returns the error that ends the attempt.
+func (t *attempt) handlePart(p *pb.RunResponse) error {
 	switch part := p.GetPart().(type) {
 	case *pb.RunResponse_Refused:
 		f := part.Refused
-		after := time.Duration(f.GetRetryAfterMs()) * time.Millisecond
-		return &NotRun{RetryAfter: after, Detail: f.GetDetail()}
+		retryAfter := time.Duration(f.GetRetryAfterMs()) * time.Millisecond
+		return &NotRun{RetryAfter: retryAfter, Detail: f.GetDetail()}
 	case *pb.RunResponse_Failed:
-		return t.unknown(part.Failed.GetDetail())
+		return t.unknownOutcome(part.Failed.GetDetail())
 	case *pb.RunResponse_Head:
-		t.started = true
+		t.answerStarted = true
 		return sinkError(t.sink.Head(part.Head))
 	case *pb.RunResponse_Data:
-		t.bytes += uint64(len(part.Data))
+		t.bytesReceived += uint64(len(part.Data))
 		return sinkError(t.sink.Data(part.Data))
 	}
 	return nil
@@ -84,30 +84,30 @@
 	return nil
 }
 
-// finish checks that the answer is whole.
-func (t *try) finish(e *pb.RunEnd) error {
-	if e.GetBytes() != t.bytes {
-		return t.unknown("the answer lacks bytes")
+// finish checks that the response is complete.
+func (t *attempt) finish(e *pb.RunEnd) error {
+	if e.GetBytes() != t.bytesReceived {
+		return t.unknownOutcome("the answer lacks bytes")
 	}
-	t.event(kernel.EventRequestAnswered, "")
+	t.addEvent(kernel.EventRequestAnswered, "")
 	return nil
 }
 
-// broken is a connection that failed: not run only if it was never made.
-func (t *try) broken(err error) error {
-	if rpc.NeverConnected(err) && !t.started {
+// connectionError classifies a failed connection: the request was not run only if no connection was established.
+func (t *attempt) connectionError(err error) error {
+	if rpc.NeverConnected(err) && !t.answerStarted {
 		t.dispatcher.router.MarkUnreachable(t.candidate.VM)
-		return &NotRun{RetryAfter: defaultRetry, Detail: "the upstream's VM takes no connection"}
+		return &NotRun{RetryAfter: defaultRetryAfter, Detail: "the upstream's VM takes no connection"}
 	}
-	return t.unknown("the connection to the upstream's VM broke")
+	return t.unknownOutcome("the connection to the upstream's VM broke")
 }
 
-func (t *try) unknown(detail string) error {
-	t.event(kernel.EventRequestUnknown, detail)
+func (t *attempt) unknownOutcome(detail string) error {
+	t.addEvent(kernel.EventRequestUnknown, detail)
 	return trace.Wrap(ErrUnknown, "%s", detail)
 }
 
-func (t *try) event(k kernel.EventKind, detail string) {
+func (t *attempt) addEvent(k kernel.EventKind, detail string) {
 	m := t.request.Message
 	t.dispatcher.events.Add(kernel.Event{
 		Kind: k, Organisation: id.Organisation(m.GetOrganisation()), Rollout: t.candidate.Rollout,
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,5 +1,5 @@
-// Package dispatch sends a caller's request to an upstream's agent and says how it ended: answered whole, proved not
-// run, or outcome unknown.
+// Package dispatch sends a caller's request to the agent of an upstream and classifies the outcome: answered
+// completely, proven not run, or unknown.
 package dispatch
 
 import (
@@ -20,24 +20,24 @@
 )
 
 var (
-	// ErrNotRun says that the request was proved not run.
+	// ErrNotRun is returned if the request has been proven not to have run.
 	ErrNotRun = errors.New("the request was not run")
-	// ErrUnknown says that the request may have run, and that no whole answer is there.
+	// ErrUnknown is returned if the request may have run and there is no complete response.
 	ErrUnknown = errors.New("the request may have run; its outcome is unknown")
-	// ErrCallerGone says that the caller took no more of the answer.
-	ErrCallerGone = errors.New("the caller took no more of the answer")
+	// ErrCallerGone is returned if writing the response to the caller failed.
+	ErrCallerGone = errors.New("the caller stopped receiving the response")
 )
 
-// PartName is what other parts name in their needs.
+// PartName is the name under which other parts declare a dependency on the dispatcher.
 const PartName = "dispatch"
 
 const (
-	// maxAttempts bounds the upstreams that one request is offered to.
+	// maxAttempts bounds the upstreams that one request is sent to.
 	maxAttempts = 4
-	// retryBurst and retryShare bound the retries of all requests: a tenth of the requests, and some more after a
-	// quiet time.
+	// retryBurst and retryRatio configure the token bucket for retries of all requests: one retry per ten requests,
+	// and a burst of retryBurst after an idle period.
 	retryBurst = 20
-	retryShare = 0.1
+	retryRatio = 0.1
 )
 
 func init() {
@@ -50,40 +50,40 @@
 	})
 }
 
-// Request is what a caller wants run.
+// Request is a caller's request.
 type Request struct {
 	Message *pb.RunRequest
 	// Service is the pool of a plain service; empty for a model.
 	Service id.Pool
-	// Affinity keeps requests of one prompt prefix together; empty for none.
+	// Affinity is a hash of the prompt prefix. Requests with the same one are kept on one upstream; empty for none.
 	Affinity string
 	// Deadline is when the caller gives up.
 	Deadline time.Time
 }
 
-// Sink takes an answer as it comes. An error ends the request with ErrCallerGone.
+// Sink receives a response as it arrives. An error ends the request with ErrCallerGone.
 type Sink struct {
 	Head func(h *pb.RunHead) error
 	Data func(b []byte) error
 }
 
-// Dispatcher sends requests.
+// Dispatcher sends requests to upstreams and retries them within a budget.
 type Dispatcher struct {
-	router   *router.Router
-	upstream func(address string) springrailv1connect.UpstreamServiceClient
-	events   *kernel.EventRing
-	mu       sync.Mutex
-	budget   float64
+	router      *router.Router
+	upstream    func(address string) springrailv1connect.UpstreamServiceClient
+	events      *kernel.EventRing
+	mu          sync.Mutex
+	retryTokens float64
 }
 
-// New makes a dispatcher.
+// New returns a dispatcher with a full retry budget.
 func New(r *router.Router, upstream func(address string) springrailv1connect.UpstreamServiceClient,
 	e *kernel.EventRing,
 ) *Dispatcher {
-	return &Dispatcher{router: r, upstream: upstream, events: e, budget: retryBurst}
+	return &Dispatcher{router: r, upstream: upstream, events: e, retryTokens: retryBurst}
 }
 
-// NotRun is ErrNotRun with the time after which the caller may come back.
+// NotRun is the form of ErrNotRun that states when the caller may retry.
 type NotRun struct {
 	RetryAfter time.Duration
 	Detail     string
@@ -94,50 +94,52 @@
 	return "the request was not run: " + n.Detail
 }
 
-// Is makes errors.Is find ErrNotRun.
+// Is makes errors.Is(err, ErrNotRun) true.
 func (n *NotRun) Is(target error) bool {
 	return target == ErrNotRun
 }
 
-// defaultRetry is when a caller whose request was not run may come back.
-const defaultRetry = time.Second
+// defaultRetryAfter is the Retry-After of a request that was not run, if the upstream states none.
+const defaultRetryAfter = time.Second
 
-// Run runs a request. A nil error says that the sink has the whole answer. The other outcomes are ErrNotRun (a
-// *NotRun), ErrUnknown and ErrCallerGone.
+// Run sends a request to upstreams until it is answered or may not be retried. It returns nil once the sink has the
+// complete response, otherwise ErrNotRun (as a *NotRun), ErrUnknown or ErrCallerGone.
 func (d *Dispatcher) Run(ctx context.Context, r *Request, s Sink) error {
 	ctx, stop := context.WithDeadline(ctx, r.Deadline)
 	defer stop()
-	d.earn()
+	d.earnRetry()
 	tried := map[id.VM]bool{}
-	last := error(&NotRun{RetryAfter: defaultRetry, Detail: "no upstream is ready for it"})
+	lastErr := error(&NotRun{RetryAfter: defaultRetryAfter, Detail: "no upstream is ready for it"})
 	if r.Message.GetIdempotencyKey() != "" && !r.Message.GetRepeatable() {
-		last = &NotRun{RetryAfter: defaultRetry, Detail: "its key's home does not answer; an earlier send may have been run there"}
+		lastErr = &NotRun{RetryAfter: defaultRetryAfter, Detail: "its key's home does not answer; an earlier send may have been run there"}
 	}
 	for range maxAttempts {
 		c, ok := d.choose(r, tried)
-		if !ok || (len(tried) > 0 && !d.spend()) {
-			return trace.Wrap(last)
+		if !ok || (len(tried) > 0 && !d.spendRetry()) {
+			return trace.Wrap(lastErr)
 		}
 		tried[c.VM] = true
-		t := &try{dispatcher: d, request: r, candidate: c, sink: s}
+		t := &attempt{dispatcher: d, request: r, candidate: c, sink: s}
 		err := t.run(ctx)
 		if err == nil || !d.mayRetry(ctx, r, t, err) {
 			return trace.Wrap(err)
 		}
-		last = err
+		lastErr = err
 	}
-	return trace.Wrap(last)
+	return trace.Wrap(lastErr)
 }
 
-// mayRetry: only what was proved not run or does no harm twice, and of which the caller has seen nothing.
-func (d *Dispatcher) mayRetry(ctx context.Context, r *Request, t *try, err error) bool {
-	if t.started || ctx.Err() != nil || errors.Is(err, ErrCallerGone) {
+// mayRetry reports whether a failed request may be retried: it must be proven not to have run or be repeatable, and
+// the caller must not have received any part of a response.
+func (d *Dispatcher) mayRetry(ctx context.Context, r *Request, t *attempt, err error) bool {
+	if t.answerStarted || ctx.Err() != nil || errors.Is(err, ErrCallerGone) {
 		return false
 	}
 	return errors.Is(err, ErrNotRun) || r.Message.GetRepeatable()
 }
 
-// choose offers a request with an idempotency key to its home only: elsewhere it might run a second time.
+// choose selects the upstream for an attempt. A request with an idempotency key goes only to the owner of the key,
+// as it might run a second time elsewhere.
 func (d *Dispatcher) choose(r *Request, tried map[id.VM]bool) (router.Candidate, bool) {
 	m := r.Message
 	var l []router.Candidate
@@ -147,13 +149,13 @@
 		l = d.router.ModelCandidates(id.Organisation(m.GetOrganisation()), id.Model(m.GetModel()))
 	}
 	if m.GetIdempotencyKey() != "" && !m.GetRepeatable() {
-		return d.home(r, l, tried)
+		return d.chooseKeyOwner(r, l, tried)
 	}
 	return router.Choose(l, tried, r.Affinity, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 }
 
-// home returns a key's home if it is among the upstreams that answer.
-func (d *Dispatcher) home(r *Request, l []router.Candidate, tried map[id.VM]bool) (router.Candidate, bool) {
+// chooseKeyOwner returns the owner of the idempotency key if it is among the available upstreams.
+func (d *Dispatcher) chooseKeyOwner(r *Request, l []router.Candidate, tried map[id.VM]bool) (router.Candidate, bool) {
 	m := r.Message
 	v, _ := d.router.KeyOwner(id.Organisation(m.GetOrganisation()), id.Model(m.GetModel()), r.Service, m.GetIdempotencyKey())
 	for _, c := range l {
@@ -164,18 +166,18 @@
 	return router.Candidate{}, false
 }
 
-func (d *Dispatcher) earn() {
+func (d *Dispatcher) earnRetry() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.budget = min(retryBurst, d.budget+retryShare)
+	d.retryTokens = min(retryBurst, d.retryTokens+retryRatio)
 }
 
-func (d *Dispatcher) spend() bool {
+func (d *Dispatcher) spendRetry() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.budget < 1 {
+	if d.retryTokens < 1 {
 		return false
 	}
-	d.budget--
+	d.retryTokens--
 	return true
 }
