--- a/internal/callerapi/handle.go
+++ b/internal/callerapi/handle.go
@@ -20,17 +20,18 @@
 	"github.com/springrail/springrail/internal/kernel"
 )
 
-// prefixBytes is the part of a prompt that affinity looks at.
-const prefixBytes = 512
+// affinityPrefixBytes is the length of the prompt prefix that selects an upstream.
+const affinityPrefixBytes = 512
 
-// chatRequest is what of a chat completion request springrail needs; the rest passes unread.
+// chatRequest holds the fields of a chat completion request that are evaluated here; the body is forwarded
+// unchanged.
 type chatRequest struct {
 	Model    string          `json:"model"`
 	Stream   bool            `json:"stream"`
 	Messages json.RawMessage `json:"messages"`
 }
 
-// modelList is the answer of /v1/models.
+// modelList is the response body of /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
@@ -44,7 +45,7 @@
 func (p *Part) models(ctx iris.Context) {
 	o := p.organisation(ctx.Request())
 	if o == nil {
-		refuse(ctx.ResponseWriter(), "", problemKey)
+		refuse(ctx.ResponseWriter(), "", problemUnknownKey)
 		return
 	}
 	names := p.router.Models(id.Organisation(o.GetId()))
@@ -77,12 +78,12 @@
 			Model: c.Model, Method: r.Method, Path: "/v1/chat/completions", ContentType: "application/json", Body: body,
 			IdempotencyKey: key, Repeatable: key == "",
 		},
-		Affinity: prefixKey(c.Messages),
+		Affinity: affinityKey(c.Messages),
 	}, c.Stream)
 }
 
-func prefixKey(messages []byte) string {
-	sum := xxhash.Sum64(messages[:min(prefixBytes, len(messages))])
+func affinityKey(messages []byte) string {
+	sum := xxhash.Sum64(messages[:min(affinityPrefixBytes, len(messages))])
 	return strconv.FormatUint(sum, 16)
 }
 
@@ -119,7 +120,7 @@
 	return body, true
 }
 
-// answer runs a request and writes how it ended.
+// answer runs a request and writes its outcome.
 func (p *Part) answer(ctx iris.Context, r *dispatch.Request, stream bool) {
 	w := ctx.ResponseWriter()
 	requestID := ctx.Request().Header.Get(headerRequestID)
@@ -132,29 +133,30 @@
 	}
 	o := p.organisation(ctx.Request())
 	if o == nil {
-		refuse(w, requestID, problemKey)
+		refuse(w, requestID, problemUnknownKey)
 		return
 	}
-	leave, err := p.limits.Acquire(o)
+	release, err := p.limits.Acquire(o)
 	if err != nil {
 		refuse(w, requestID, problemOf(err))
 		return
 	}
-	defer leave()
+	defer release()
 	r.Message.RequestId, r.Message.Organisation = requestID, o.GetId()
 	r.Deadline = time.Now().Add(p.timeout(ctx.Request()))
 	p.host.Events.Add(kernel.Event{
 		Kind: kernel.EventRequestReceived, Organisation: id.Organisation(o.GetId()), Request: id.Request(requestID),
 	})
-	begun := time.Now()
-	run := p.whole
+	start := time.Now()
+	run := p.answerBuffered
 	if stream {
-		run = p.stream
+		run = p.answerStreamed
 	}
-	p.tally.note(run(ctx, r), begun)
+	p.metrics.record(run(ctx, r), start)
 }
 
-// timeout is what the caller asks for in the header Request-Timeout, in seconds, or the setting.
+// timeout returns the time that the caller states in the header Request-Timeout, in seconds, or the default from
+// the settings, which is also the maximum.
 func (p *Part) timeout(r *http.Request) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(r.Header.Get("Request-Timeout")), 64)
 	if err != nil || seconds <= 0 {
@@ -174,8 +176,9 @@
 	w.WriteHeader(int(h.GetStatus()))
 }
 
-// whole holds an answer back until all of it is there, so that a cut one is never taken for whole.
-func (p *Part) whole(ctx iris.Context, r *dispatch.Request) string {
+// answerBuffered withholds a response until it is complete, so that a truncated one is never taken for a complete
+// one.
+func (p *Part) answerBuffered(ctx iris.Context, r *dispatch.Request) string {
 	var head *pb.RunHead
 	var body []byte
 	err := p.dispatch.Run(ctx.Request().Context(), r, dispatch.Sink{
@@ -192,13 +195,14 @@
 	return outcomeAnswered
 }
 
-// stream passes server-sent events on as they come. A cut one ends with an error event and without its end mark.
-func (p *Part) stream(ctx iris.Context, r *dispatch.Request) string {
+// answerStreamed forwards server-sent events as they arrive. A truncated stream ends with an error event and
+// without its end mark.
+func (p *Part) answerStreamed(ctx iris.Context, r *dispatch.Request) string {
 	w := ctx.ResponseWriter()
-	started := false
+	headSent := false
 	err := p.dispatch.Run(ctx.Request().Context(), r, dispatch.Sink{
 		Head: func(h *pb.RunHead) error {
-			started = true
+			headSent = true
 			writeHead(w, r.Message.GetRequestId(), h)
 			return nil
 		},
@@ -214,8 +218,8 @@
 	case err == nil:
 		return outcomeAnswered
 	case errors.Is(err, dispatch.ErrCallerGone):
-		return outcomeGone
-	case !started:
+		return outcomeCallerGone
+	case !headSent:
 		refuse(w, r.Message.GetRequestId(), problemOf(err))
 	default:
 		_, _ = w.Write([]byte("event: error\ndata: " + string(problemOf(err).body()) + "\n\n"))
--- a/internal/callerapi/flight.go
+++ b/internal/callerapi/inflight.go
@@ -6,20 +6,21 @@
 	"sync"
 )
 
-// flight counts the requests that are being answered, so that a planned stop cuts none.
-type flight struct {
+// inFlightRequests counts the requests in flight, so that a graceful shutdown interrupts none.
+type inFlightRequests struct {
 	mu      sync.Mutex
-	running int
+	count   int
 	leaving bool
 	idle    chan struct{}
 }
 
-func newFlight() *flight {
-	return &flight{idle: make(chan struct{}, 1)}
+func newInFlightRequests() *inFlightRequests {
+	return &inFlightRequests{idle: make(chan struct{}, 1)}
 }
 
-// count wraps the handler. While leaving, requests that still come are refused before anything is sent on.
-func (f *flight) count(next http.Handler) http.Handler {
+// wrap returns a handler that counts requests. Requests that arrive during a shutdown are refused before they reach
+// an upstream.
+func (f *inFlightRequests) wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !f.enter() {
 			w.Header().Set("Connection", "close")
@@ -31,35 +32,35 @@
 	})
 }
 
-func (f *flight) enter() bool {
+func (f *inFlightRequests) enter() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.leaving {
 		return false
 	}
-	f.running++
+	f.count++
 	return true
 }
 
-func (f *flight) exit() {
+func (f *inFlightRequests) exit() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.running--
-	if f.running == 0 && f.leaving {
+	f.count--
+	if f.count == 0 && f.leaving {
 		f.idle <- struct{}{}
 	}
 }
 
-func (f *flight) isLeaving() bool {
+func (f *inFlightRequests) isLeaving() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.leaving
 }
 
-func (f *flight) leave(ctx context.Context) {
+func (f *inFlightRequests) drain(ctx context.Context) {
 	f.mu.Lock()
 	f.leaving = true
-	idle := f.running == 0
+	idle := f.count == 0
 	f.mu.Unlock()
 	if idle {
 		return
--- a/internal/callerapi/part.go
+++ b/internal/callerapi/part.go
@@ -1,5 +1,5 @@
-// Package callerapi is what callers speak: chat completions with JSON and server-sent events, the list of models, and
-// routes to plain services.
+// Package callerapi serves the HTTP API for callers: chat completions with JSON and server-sent events, the list of
+// models, and routes to plain services.
 package callerapi
 
 import (
@@ -25,15 +25,15 @@
 	"github.com/springrail/springrail/internal/rpc"
 )
 
-// Settings is the section [caller].
+// Settings is the configuration section [caller].
 type Settings struct {
 	Listen string `toml:"listen"`
 	Cert   string `toml:"cert"`
 	Key    string `toml:"key"`
 	Plain  bool   `toml:"plain"`
-	// Timeout is the deadline of a request that brings none.
+	// Timeout is the deadline of a request that states none, and the maximum for others.
 	Timeout time.Duration `toml:"timeout"`
-	// BodyBytes bounds a request's body.
+	// BodyBytes bounds the size of a request's body.
 	BodyBytes int `toml:"body_bytes"`
 }
 
@@ -58,7 +58,7 @@
 	})
 }
 
-// Part serves callers.
+// Part is the HTTP server for callers.
 type Part struct {
 	settings *Settings
 	listener net.Listener
@@ -68,8 +68,8 @@
 	router   *router.Router
 	limits   *limits.Limiter
 	dispatch *dispatch.Dispatcher
-	flight   *flight
-	tally    *tally
+	inFlight *inFlightRequests
+	metrics  *metrics
 }
 
 func newPart(h *kernel.Host) (any, error) {
@@ -87,25 +87,25 @@
 		l = tls.NewListener(l, &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{cert}})
 	}
 	c := h.Part(configlog.PartName).(*configlog.Part)
-	t := newTally()
-	h.Metric("requests", t.outcomes)
-	h.Metric("request_ms", expvar.Func(t.quantiles))
+	counters := newMetrics()
+	h.Metric("requests", counters.outcomes)
+	h.Metric("request_ms", expvar.Func(counters.quantiles))
 	return &Part{
-		tally:    t,
+		metrics:  counters,
 		settings: s, listener: l, host: h, state: c.State, ready: c.Ready,
 		router:   h.Part(router.PartName).(*router.Router),
 		limits:   h.Part(limits.PartName).(*limits.Limiter),
 		dispatch: h.Part(dispatch.PartName).(*dispatch.Dispatcher),
-		flight:   newFlight(),
+		inFlight: newInFlightRequests(),
 	}, nil
 }
 
-// Address is the address that the listener took.
+// Address returns the address that the server listens on.
 func (p *Part) Address() string {
 	return p.listener.Addr().String()
 }
 
-// Run serves until the context ends.
+// Run serves callers until the context ends.
 func (p *Part) Run(ctx context.Context) error {
 	app := iris.New()
 	app.Logger().SetLevel("disable")
@@ -115,24 +115,24 @@
 	if err := app.Build(); err != nil {
 		return trace.Wrap(err)
 	}
-	server := &http.Server{Handler: p.flight.count(app), ReadHeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute}
+	server := &http.Server{Handler: p.inFlight.wrap(app), ReadHeaderTimeout: 10 * time.Second, IdleTimeout: time.Minute}
 	return rpc.Serve(ctx, server, p.listener, nil)
 }
 
-// Drain refuses new requests, closes the listener so that the balancer goes elsewhere, and waits for those in flight.
+// Drain refuses new requests, so that the load balancer uses other entries, and waits for the requests in flight.
 func (p *Part) Drain(ctx context.Context) {
-	p.flight.leave(ctx)
+	p.inFlight.drain(ctx)
 }
 
 // NotReady implements kernel.Readier.
 func (p *Part) NotReady() string {
-	if p.flight.isLeaving() {
+	if p.inFlight.isLeaving() {
 		return "leaving"
 	}
 	return ""
 }
 
-// organisation finds whose key a caller shows, or nil.
+// organisation returns the organisation that the caller's API key belongs to, or nil.
 func (p *Part) organisation(r *http.Request) *pb.Organisation {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok || key == "" {
--- a/internal/callerapi/problem.go
+++ b/internal/callerapi/problem.go
@@ -11,7 +11,7 @@
 	"github.com/springrail/springrail/internal/limits"
 )
 
-// The headers that answers carry.
+// The header fields of responses.
 const (
 	headerRequestID = "X-Request-Id"
 	headerOutcome   = "Springrail-Outcome"
@@ -20,36 +20,36 @@
 	headerVM        = "Springrail-Vm"
 )
 
-// The outcomes that headerOutcome names.
+// The values of headerOutcome.
 const (
 	outcomeNotRun  = "not-run"
 	outcomeUnknown = "unknown"
-	// outcomeAnswered and outcomeGone are only counted.
-	outcomeAnswered = "answered"
-	outcomeGone     = "caller-gone"
+	// outcomeAnswered and outcomeCallerGone appear in metrics only.
+	outcomeAnswered   = "answered"
+	outcomeCallerGone = "caller-gone"
 )
 
-// problem is an answer that springrail itself gives.
+// problem is an error response that springrail itself generates.
 type problem struct {
-	status  int
-	kind    string
-	text    string
-	outcome string
-	after   time.Duration
+	status     int
+	kind       string
+	text       string
+	outcome    string
+	retryAfter time.Duration
 }
 
 var (
 	problemLeaving = problem{
 		status: http.StatusServiceUnavailable, kind: "leaving", text: "this entry is stopping; ask again",
-		outcome: outcomeNotRun, after: time.Second,
+		outcome: outcomeNotRun, retryAfter: time.Second,
 	}
-	problemKey = problem{
+	problemUnknownKey = problem{
 		status: http.StatusUnauthorized, kind: "key", outcome: outcomeNotRun,
 		text: "the request needs the header Authorization: Bearer with a caller key of an organisation",
 	}
 	problemNotReady = problem{
 		status: http.StatusServiceUnavailable, kind: "not_ready", text: "this entry has no configuration yet",
-		outcome: outcomeNotRun, after: time.Second,
+		outcome: outcomeNotRun, retryAfter: time.Second,
 	}
 )
 
@@ -57,20 +57,20 @@
 	return problem{status: http.StatusBadRequest, kind: "bad_request", text: text, outcome: outcomeNotRun}
 }
 
-// problemOf is the answer for how a request ended.
+// problemOf returns the error response for an error that ended a request.
 func problemOf(err error) problem {
-	var over *limits.Refusal
+	var refusal *limits.Refusal
 	var notRun *dispatch.NotRun
 	switch {
-	case errors.As(err, &over):
+	case errors.As(err, &refusal):
 		return problem{
-			status: http.StatusTooManyRequests, kind: "over_limit", text: over.Error(), outcome: outcomeNotRun,
-			after: over.RetryAfter,
+			status: http.StatusTooManyRequests, kind: "over_limit", text: refusal.Error(), outcome: outcomeNotRun,
+			retryAfter: refusal.RetryAfter,
 		}
 	case errors.As(err, &notRun):
 		return problem{
 			status: http.StatusServiceUnavailable, kind: "not_run", text: notRun.Error(), outcome: outcomeNotRun,
-			after: notRun.RetryAfter,
+			retryAfter: notRun.RetryAfter,
 		}
 	default:
 		return problem{
@@ -80,7 +80,7 @@
 	}
 }
 
-// problemBody is the JSON of a problem, in the form that model clients know.
+// problemBody is the JSON body of a problem, in the format of common model APIs.
 type problemBody struct {
 	Error problemError `json:"error"`
 }
@@ -96,7 +96,7 @@
 	return b
 }
 
-// refuse writes a problem as the whole answer.
+// refuse writes a problem as the response.
 func refuse(w http.ResponseWriter, requestID string, p problem) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -104,8 +104,8 @@
 	if requestID != "" {
 		h.Set(headerRequestID, requestID)
 	}
-	if p.after > 0 {
-		h.Set("Retry-After", strconv.Itoa(int((p.after+time.Second-1)/time.Second)))
+	if p.retryAfter > 0 {
+		h.Set("Retry-After", strconv.Itoa(int((p.retryAfter+time.Second-1)/time.Second)))
 	}
 	w.WriteHeader(p.status)
 	_, _ = w.Write(p.body())
