--- a/internal/gateway/queue_test.go
+++ b/internal/gateway/queue_test.go
@@ -66,7 +66,7 @@
 	})
 
 	// Guards against requests that begin on version 1 after its grace period because chunks of version 3 delay them.
-	// Six links became narrow when version 3 was published, 2.3 s before the end of version 1's time, and chunks
+	// Six links became narrow when version 3 was published, 2.3 s before the end of version 1's grace period, and chunks
 	// queued on them. Requests over links probed 0.2 s before arrived 1.3 s later.
 	It("are not sent on the older version in its last 2 s if a newer one has just been published: its chunks may queue on any link", func() {
 		s := &suspendableClock{}
