--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -121,7 +121,7 @@
 	d := h.Part(DialectPart).(*Dialect)
 	sub := h.Part(reports.SubscriberPart).(*reports.Subscriber)
 	connect := h.Part(traffic.PartName).(*traffic.Part).Dial(traffic.Requests, dial.New(dialTimeout).DialContext)
-	load := LoadSources{Tracker: sub.Tracker(), Offers: sub.Offers(), Demand: sub.Demand, Gateways: sub.GatewayCount}
+	load := LoadSources{Tracker: sub.Tracker(), Offers: sub.DemandMeter(), Demand: sub.Demand, Gateways: sub.GatewayCount}
 	load.Permits = PermitClient{Acquire: sub.RequestPermit, ReportLimit: sub.SendLimit, ReportLimitEnd: sub.SendLimitEnd}
 	q := h.Part(quarantine.PartName).(*quarantine.Quarantine)
 	g := New(s, d, h.Part(facts.PartName).(*facts.Facts), load, q, connect, h.Identity.Domain, h.Log)
--- a/internal/reports/news.go
+++ b/internal/reports/news.go
@@ -12,22 +12,21 @@
 )
 
 const (
-	// newsRelays is the number of stagers that pass a gateway's news on, of different failure domains where there are
-	// as many: of links that lose three packets in a hundred, all three copies are lost to a gateway once in 5,000
-	// times.
+	// newsRelays is the number of stagers that forward a gateway's crash news, in different failure domains where
+	// possible. On links that lose 3 % of the packets, a gateway misses all three copies once in 5,000 times.
 	newsRelays = 3
-	// newsPerSecond and newsAtOnce bound the news of a gateway: one upstream's end is one message, and one with all
-	// upstreams of a failure domain at once says nothing of the requests there.
+	// newsPerSecond and newsBurst limit the rate of crash news that a gateway sends. The crash of one upstream takes one
+	// message. If all upstreams of a failure domain crash at once, that says nothing about the requests there.
 	newsPerSecond = 20
-	newsAtOnce    = 40
-	// passedPerSecond and passedAtOnce bound what a stager passes on: 10 upstreams' ends with requests of all of
-	// today's gateways at each.
-	passedPerSecond = 100
-	passedAtOnce    = 200
+	newsBurst     = 40
+	// forwardedPerSecond and forwardedBurst limit the rate of crash news that a stager forwards: enough for 10 crashed
+	// upstreams with requests of all gateways at each.
+	forwardedPerSecond = 100
+	forwardedBurst     = 200
 )
 
-// BroadcastCrashNews tells all gateways that subscribe to reports, by way of some stagers: a gateway knows no other gateways, and
-// stagers know all.
+// BroadcastCrashNews sends crash news to all gateways that subscribe to reports. It goes through a few stagers, because
+// a gateway doesn't know the other gateways and a stager knows all of its subscribers.
 func (s *Subscriber) BroadcastCrashNews(n *pb.CrashNews) {
 	if !s.newsLimit.AllowN(s.now(), 1) {
 		s.vars.Add("news_over_rate", 1)
@@ -36,10 +35,10 @@
 	n.Sender = s.conn.LocalAddr().String()
 	b, err := proto.Marshal(&pb.ReportSubscription{News: n})
 	if err != nil {
-		s.log.Error().Err(err).Msg("news can't be encoded")
+		s.log.Error().Err(err).Msg("failed to encode crash news")
 		return
 	}
-	for _, i := range s.relays() {
+	for _, i := range s.pickRelays() {
 		host, _, err := net.SplitHostPort(i.Address)
 		if err != nil {
 			continue
@@ -48,35 +47,36 @@
 			s.vars.Add("send_failed", 1)
 			continue
 		}
-		s.sent(i.Domain, len(b))
+		s.onSent(i.Domain, len(b))
 	}
 }
 
-// relays picks stagers that have reported lately, by chance, one of each failure domain before a second of any.
-func (s *Subscriber) relays() (l []*facts.Instance) {
+// pickRelays picks random stagers that have reported recently, one in each failure domain before a second one in any.
+func (s *Subscriber) pickRelays() (l []*facts.Instance) {
 	var rest []*facts.Instance
-	taken := map[id.Domain]bool{}
-	all := s.reporting()
+	covered := map[id.Domain]bool{}
+	all := s.relayCandidates()
 	rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	for _, i := range all {
-		if taken[i.Domain] {
+		if covered[i.Domain] {
 			rest = append(rest, i)
 			continue
 		}
-		taken[i.Domain] = true
+		covered[i.Domain] = true
 		l = append(l, i)
 	}
 	l = append(l, rest...)
 	return l[:min(newsRelays, len(l))]
 }
 
-// reporting lists the upstreams whose stagers have reported lately, or all with a stager where none has.
-func (s *Subscriber) reporting() (l []*facts.Instance) {
+// relayCandidates lists the upstreams whose stagers have reported recently, or all upstreams that have a stager if none
+// has.
+func (s *Subscriber) relayCandidates() (l []*facts.Instance) {
 	c := s.facts.Catalog()
 	if c == nil {
 		return nil
 	}
-	var silent []*facts.Instance
+	var stale []*facts.Instance
 	for _, i := range s.facts.Instances() {
 		if p := c.Services[i.Pool]; p == nil || p.Engine == nil {
 			continue
@@ -84,17 +84,17 @@
 		if _, fresh := s.tracker.FreshReport(i.Address); fresh {
 			l = append(l, i)
 		} else {
-			silent = append(silent, i)
+			stale = append(stale, i)
 		}
 	}
 	if len(l) == 0 {
-		return silent
+		return stale
 	}
 	return l
 }
 
-// passOn sends a gateway's news to all subscribers.
-func (r *Reporter) passOn(n *pb.CrashNews) {
+// forwardNews sends a gateway's crash news to all other subscribers.
+func (r *Reporter) forwardNews(n *pb.CrashNews) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
@@ -104,18 +104,18 @@
 	}
 	b, err := proto.Marshal(&pb.UpstreamReport{News: n})
 	if err != nil {
-		r.log.Error().Err(err).Msg("news can't be encoded")
+		r.log.Error().Err(err).Msg("failed to encode crash news")
 		return
 	}
 	r.vars.Add("news", 1)
 	for name, s := range r.subscribers {
-		if name == n.GetSender() || now.After(s.until) {
+		if name == n.GetSender() || now.After(s.expiresAt) {
 			continue
 		}
-		if _, err := r.conn.WriteToUDP(b, s.to); err != nil {
+		if _, err := r.conn.WriteToUDP(b, s.addr); err != nil {
 			r.vars.Add("send_failed", 1)
 			continue
 		}
-		r.sent(s.domain, len(b))
+		r.onSent(s.domain, len(b))
 	}
 }
--- a/internal/reports/news_test.go
+++ b/internal/reports/news_test.go
@@ -16,26 +16,26 @@
 	"github.com/springrail/springrail/internal/placement"
 )
 
-var _ = describe("a gateway's news", func() {
+var _ = describe("a gateway's crash news", func() {
 	engines := []*catalog.Service{{Name: "p", Engine: &catalog.Engine{}}, {Name: "plain"}}
 
-	it("reaches all other gateways by way of stagers, once a stager, and is no report of any upstream", func() {
+	it("reaches all other gateways once through each stager, and is not taken for a load report", func() {
 		ctx, stop := context.WithCancel(context.Background())
 		ginkgo.DeferCleanup(stop)
-		r := NewReporter(socket(), "d", facts.New(time.Now), time.Now, quiet)
+		r := NewReporter(newSocket(), "d", facts.New(time.Now), time.Now, discardLog)
 		go func() { _ = r.Run(ctx) }()
 		f := facts.New(time.Now)
 		f.SetCatalog(catalog.New(1, nil, engines, nil, catalog.Limits{}))
 		f.SetInstance(&facts.Instance{ID: "i", Pool: "p", Address: "127.0.0.1:9"})
 		var mu sync.Mutex
-		heard := map[int]int{}
+		received := map[int]int{}
 		var gateways []*Subscriber
 		for n := range 3 {
-			s := NewSubscriber(socket(), port(r.conn), "d", f, time.Now, quiet)
+			s := NewSubscriber(newSocket(), portOf(r.conn), "d", f, time.Now, discardLog)
 			s.OnCrashNews = func(m *pb.CrashNews) {
 				mu.Lock()
 				defer mu.Unlock()
-				heard[n] += len(m.GetServed())
+				received[n] += len(m.GetServed())
 			}
 			go func() { _ = s.Run(ctx) }()
 			gateways = append(gateways, s)
@@ -49,28 +49,28 @@
 		Eventually(func() map[int]int {
 			mu.Lock()
 			defer mu.Unlock()
-			return map[int]int{0: heard[0], 1: heard[1], 2: heard[2]}
+			return map[int]int{0: received[0], 1: received[1], 2: received[2]}
 		}).Should(Equal(map[int]int{0: 0, 1: 1, 2: 1}))
 		_, ok := gateways[1].Tracker().FreshReport("127.0.0.1:9")
 		Expect(ok).To(BeFalse())
 	})
 
-	it("goes by stagers of different failure domains that have reported lately", func() {
+	it("goes through stagers in different failure domains that have reported recently", func() {
 		f := facts.New(time.Now)
 		f.SetCatalog(catalog.New(1, nil, engines, nil, catalog.Limits{}))
-		s := NewSubscriber(socket(), 1, "d0", f, time.Now, quiet)
+		s := NewSubscriber(newSocket(), 1, "d0", f, time.Now, discardLog)
 		for n := range 12 {
 			i := &facts.Instance{ID: id.Instance(fmt.Sprint(n)), Pool: "p", Address: fmt.Sprintf("127.0.0.%d:9", n+1), Domain: id.Domain(fmt.Sprint("d", n%4))}
 			f.SetInstance(i)
 		}
 		f.SetInstance(&facts.Instance{ID: "plain", Pool: "plain", Address: "127.0.0.99:9", Domain: "d9"})
-		Expect(s.relays()).To(HaveLen(newsRelays), "any stager will do while none has reported")
+		Expect(s.pickRelays()).To(HaveLen(newsRelays), "any stager is used while none has reported")
 		for n := range 8 {
 			s.Tracker().SetReport(fmt.Sprintf("127.0.0.%d:9", n+1), placement.LoadReport{ReceivedAt: time.Now()})
 		}
 		for range 50 {
 			domains := map[id.Domain]bool{}
-			for _, i := range s.relays() {
+			for _, i := range s.pickRelays() {
 				domains[i.Domain] = true
 				_, fresh := s.Tracker().FreshReport(i.Address)
 				Expect(fresh).To(BeTrue())
@@ -79,17 +79,17 @@
 		}
 	})
 
-	it("is bounded at its sender and at the stagers that pass it on", func() {
+	it("is rate-limited at the sender and at the stagers that forward it", func() {
 		now := time.Now()
 		f := facts.New(time.Now)
-		s := NewSubscriber(socket(), 1, "d", f, func() time.Time { return now }, quiet)
-		for range newsAtOnce + 7 {
+		s := NewSubscriber(newSocket(), 1, "d", f, func() time.Time { return now }, discardLog)
+		for range newsBurst + 7 {
 			s.BroadcastCrashNews(&pb.CrashNews{})
 		}
 		Expect(s.vars.Get("news_over_rate").String()).To(Equal("7"))
-		r := NewReporter(socket(), "d", f, func() time.Time { return now }, quiet)
-		for range passedAtOnce + 5 {
-			r.passOn(&pb.CrashNews{})
+		r := NewReporter(newSocket(), "d", f, func() time.Time { return now }, discardLog)
+		for range forwardedBurst + 5 {
+			r.forwardNews(&pb.CrashNews{})
 		}
 		Expect(r.vars.Get("news_over_rate").String()).To(Equal("5"))
 	})
--- a/internal/reports/permits.go
+++ b/internal/reports/permits.go
@@ -13,46 +13,46 @@
 	"github.com/springrail/springrail/internal/throttle"
 )
 
-// questions are those for permits that have had no answer yet.
-type questions struct {
-	mu      sync.Mutex
-	newest  uint64
-	waiting map[uint64]chan uint64
+// pendingPermits holds the permit requests that await an answer.
+type pendingPermits struct {
+	mu         sync.Mutex
+	lastNumber uint64
+	pending    map[uint64]chan uint64
 }
 
-// add begins a question.
-func (q *questions) add() (number uint64, answer chan uint64) {
+// add registers a permit request and returns its number and the channel that receives its answer.
+func (q *pendingPermits) add() (number uint64, answer chan uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.newest++
+	q.lastNumber++
 	answer = make(chan uint64, 1)
-	q.waiting[q.newest] = answer
-	return q.newest, answer
+	q.pending[q.lastNumber] = answer
+	return q.lastNumber, answer
 }
 
-// answer ends a question; one that has ended already is passed over.
-func (q *questions) answer(number, permit uint64) {
+// resolve delivers the answer to a permit request; it ignores a request that is no longer pending.
+func (q *pendingPermits) resolve(number, permit uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if c := q.waiting[number]; c != nil {
+	if c := q.pending[number]; c != nil {
 		c <- permit
-		delete(q.waiting, number)
+		delete(q.pending, number)
 	}
 }
 
-// drop ends a question that nobody waits for any more.
-func (q *questions) drop(number uint64) {
+// cancel removes a permit request whose caller has stopped waiting.
+func (q *pendingPermits) cancel(number uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	delete(q.waiting, number)
+	delete(q.pending, number)
 }
 
-// RequestPermit asks the stager beside an upstream for a permit, and returns its number, or 0 where there is none, and
-// whether an answer came before the context ended.
+// RequestPermit requests a permit from an upstream's stager. It returns the permit's number, or 0 if none is available,
+// and whether an answer came before the context ended.
 func (s *Subscriber) RequestPermit(ctx context.Context, address string, born id.Birth) (permit uint64, answered bool) {
-	number, answer := s.questions.add()
-	defer s.questions.drop(number)
-	s.tellStager(address, &pb.PermitRequest{Number: number, Born: uint64(born)})
+	number, answer := s.permitRequests.add()
+	defer s.permitRequests.cancel(number)
+	s.sendToStager(address, &pb.PermitRequest{Number: number, Born: uint64(born)})
 	select {
 	case <-ctx.Done():
 		return 0, false
@@ -61,21 +61,21 @@
 	}
 }
 
-// SendLimit tells the stager beside an upstream which limit an answer named.
+// SendLimit sends an upstream's stager the rate limit that an answer of the upstream named.
 func (s *Subscriber) SendLimit(address string, born id.Birth, r throttle.Rate) {
-	s.tellStager(address, &pb.PermitRequest{Born: uint64(born), Named: proto.Float64(float64(r))})
+	s.sendToStager(address, &pb.PermitRequest{Born: uint64(born), Named: proto.Float64(float64(r))})
 }
 
-// SendLimitEnd tells the stager beside an upstream that the answer to the request with a permit named no limit.
+// SendLimitEnd notifies an upstream's stager that the answer to the request with a permit named no rate limit.
 func (s *Subscriber) SendLimitEnd(address string, born id.Birth, permit uint64) {
-	s.tellStager(address, &pb.PermitRequest{Born: uint64(born), Ended: permit})
+	s.sendToStager(address, &pb.PermitRequest{Born: uint64(born), Ended: permit})
 }
 
-func (s *Subscriber) tellStager(address string, m *pb.PermitRequest) {
+func (s *Subscriber) sendToStager(address string, m *pb.PermitRequest) {
 	m.Sender = s.conn.LocalAddr().String()
 	b, err := proto.Marshal(&pb.ReportSubscription{Permit: m})
 	if err != nil {
-		s.log.Error().Err(err).Msg("a question for a permit can't be encoded")
+		s.log.Error().Err(err).Msg("failed to encode a permit request")
 		return
 	}
 	host, _, err := net.SplitHostPort(address)
@@ -86,10 +86,10 @@
 		s.vars.Add("send_failed", 1)
 		return
 	}
-	s.sent(s.domainOf(address), len(b))
+	s.onSent(s.domainOf(address), len(b))
 }
 
-// domainOf is the failure domain of a listed upstream.
+// domainOf returns the failure domain of a listed upstream.
 func (s *Subscriber) domainOf(address string) id.Domain {
 	for _, i := range s.facts.Instances() {
 		if i.Address == address {
@@ -99,15 +99,16 @@
 	return s.domain
 }
 
-// takePermit takes the answer to a question, with the limit beside it.
-func (s *Subscriber) takePermit(r *pb.UpstreamReport) {
+// handlePermitAnswer delivers the answer to a permit request and stores the rate limit that comes with it.
+func (s *Subscriber) handlePermitAnswer(r *pb.UpstreamReport) {
 	s.vars.Add("permit_answers", 1)
-	s.questions.answer(r.GetPermit().GetNumber(), r.GetPermit().GetPermit())
-	s.tracker.RecordLimitAnnouncement(r.GetAddress(), told(r))
+	s.permitRequests.resolve(r.GetPermit().GetNumber(), r.GetPermit().GetPermit())
+	s.tracker.RecordLimitAnnouncement(r.GetAddress(), limitFromReport(r))
 }
 
-// told reads what a stager tells of its upstream's limit. Rates that are none are as if it told nothing.
-func told(r *pb.UpstreamReport) throttle.Announcement {
+// limitFromReport decodes the rate limit of a report's upstream. It ignores invalid rates, as if the report had no
+// limit.
+func limitFromReport(r *pb.UpstreamReport) throttle.Announcement {
 	l := r.GetLimit()
 	t := throttle.Announcement{Incarnation: r.GetIncarnation()}
 	switch {
@@ -120,35 +121,35 @@
 	return t
 }
 
-// retellEvery is how often a gateway tells a stager a limit that the stager does not tell.
-const retellEvery = time.Second
+// limitResendInterval is the minimum time between two sends of a limit to a stager whose reports lack it.
+const limitResendInterval = time.Second
 
-// retell tells a stager that has started again the limit of its upstream that this gateway knows.
-func (s *Subscriber) retell(r *pb.UpstreamReport) {
+// resendLimit sends the upstream's rate limit that this gateway knows to a stager that has lost it in a restart.
+func (s *Subscriber) resendLimit(r *pb.UpstreamReport) {
 	if r.GetLimit() != nil {
 		return
 	}
-	rate, born, untold := s.tracker.UnannouncedLimit(r.GetAddress(), r.GetIncarnation())
-	if untold && s.mayRetell(r.GetAddress()) {
+	rate, born, missing := s.tracker.UnannouncedLimit(r.GetAddress(), r.GetIncarnation())
+	if missing && s.limitResendDue(r.GetAddress()) {
 		s.SendLimit(r.GetAddress(), born, rate)
 	}
 }
 
-// mayRetell says whether it is time to tell a stager a limit again, and takes it as told.
-func (s *Subscriber) mayRetell(address string) bool {
+// limitResendDue reports whether a limit may be sent to a stager again, and if so starts the next interval.
+func (s *Subscriber) limitResendDue(address string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h, now := s.stagers[address], s.now()
-	if h == nil || now.Before(h.retell) {
+	if h == nil || now.Before(h.nextLimitSend) {
 		return false
 	}
-	h.retell = now.Add(retellEvery)
+	h.nextLimitSend = now.Add(limitResendInterval)
 	return true
 }
 
-// takePermit gives a gateway a permit for the upstream beside this process, or takes what the gateway tells of the
-// upstream's limit.
-func (r *Reporter) takePermit(m *pb.PermitRequest) {
+// handlePermitRequest answers a gateway's permit request for the upstream of this stager, or stores what the gateway
+// reports about the upstream's rate limit.
+func (r *Reporter) handlePermitRequest(m *pb.PermitRequest) {
 	born := id.Birth(m.GetBorn())
 	if m.Named != nil && throttle.ValidRate(m.GetNamed()) {
 		r.limiter.RecordGatewayLimit(throttle.Rate(m.GetNamed()), born)
@@ -159,23 +160,23 @@
 	if m.GetNumber() == 0 {
 		return
 	}
-	to, err := net.ResolveUDPAddr("udp4", m.GetSender())
-	if err != nil || to.IP == nil {
+	addr, err := net.ResolveUDPAddr("udp4", m.GetSender())
+	if err != nil || addr.IP == nil {
 		r.vars.Add("malformed", 1)
 		return
 	}
-	r.answerPermit(to, m)
+	r.answerPermit(addr, m)
 }
 
-// answerPermit answers a gateway's question.
-func (r *Reporter) answerPermit(to *net.UDPAddr, m *pb.PermitRequest) {
+// answerPermit sends the answer to a gateway's permit request.
+func (r *Reporter) answerPermit(addr *net.UDPAddr, m *pb.PermitRequest) {
 	a := &pb.PermitAnswer{Number: m.GetNumber(), Permit: r.limiter.IssuePermit()}
 	r.mu.Lock()
-	address, domain := r.address, r.subscribers[m.GetSender()].domain
+	address, domain := r.upstreamAddress, r.subscribers[m.GetSender()].domain
 	r.mu.Unlock()
-	b, err := proto.Marshal(&pb.UpstreamReport{Address: address, Incarnation: r.incarnation, Permit: a, Limit: r.limit()})
+	b, err := proto.Marshal(&pb.UpstreamReport{Address: address, Incarnation: r.incarnation, Permit: a, Limit: r.limitMessage()})
 	if err != nil {
-		r.log.Error().Err(err).Msg("an answer with a permit can't be encoded")
+		r.log.Error().Err(err).Msg("failed to encode a permit answer")
 		return
 	}
 	if a.GetPermit() > 0 {
@@ -183,15 +184,15 @@
 	} else {
 		r.vars.Add("permits_refused", 1)
 	}
-	if _, err := r.conn.WriteToUDP(b, to); err != nil {
+	if _, err := r.conn.WriteToUDP(b, addr); err != nil {
 		r.vars.Add("send_failed", 1)
 		return
 	}
-	r.sent(domain, len(b))
+	r.onSent(domain, len(b))
 }
 
-// limit is what gateways are told of the upstream's limit; nil while there is nothing to tell.
-func (r *Reporter) limit() *pb.UpstreamLimit {
+// limitMessage encodes the upstream's rate limit for gateways; it returns nil if there is nothing to report.
+func (r *Reporter) limitMessage() *pb.UpstreamLimit {
 	t := r.limiter.Announce()
 	switch t.State {
 	case throttle.Limited:
--- a/internal/reports/probe_test.go
+++ b/internal/reports/probe_test.go
@@ -13,45 +13,45 @@
 	"github.com/springrail/springrail/internal/placement"
 )
 
-var _ = describe("the way to an upstream that lags behind a newer version", func() {
-	it("is proven again and again: stamps go out more often, to lagging ones alone", func() {
+var _ = describe("the connection to an upstream that serves an outdated version", func() {
+	it("is probed by additional subscriptions, while the version is outdated", func() {
 		now := time.Unix(1000, 0)
 		clock := func() time.Time { return now }
 		f := facts.New(clock)
 		f.SetCatalog(catalog.New(1, nil, []*catalog.Service{{Name: "p", Engine: &catalog.Engine{}}}, nil, catalog.Limits{}))
-		stager := socket()
+		stager := newSocket()
 		f.SetInstance(&facts.Instance{ID: "i", Pool: "p", Domain: "d", Address: "127.0.0.1:9", Held: []facts.Held{{Model: "m", Revision: 1}}})
-		s := NewSubscriber(socket(), port(stager), "d", f, clock, quiet)
-		comes := func() bool {
+		s := NewSubscriber(newSocket(), portOf(stager), "d", f, clock, discardLog)
+		receive := func() bool {
 			_ = stager.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-			b := make([]byte, datagramBytes)
+			b := make([]byte, maxDatagramBytes)
 			n, err := stager.Read(b)
 			var q pb.ReportSubscription
 			return err == nil && proto.Unmarshal(b[:n], &q) == nil && q.GetStamp() > 0
 		}
-		s.probe()
-		Expect(comes()).To(BeFalse(), "nothing newer is named")
+		s.renewOutdated()
+		Expect(receive()).To(BeFalse(), "no newer version is published")
 		f.SetWanted("m", facts.Publication{Revision: 2, PublishTime: dating.TimeBounds{After: now}})
-		s.probe()
-		Expect(comes()).To(BeTrue())
+		s.renewOutdated()
+		Expect(receive()).To(BeTrue())
 		s.tracker.SetReport("127.0.0.1:9", placement.LoadReport{ReceivedAt: now, Held: []facts.Held{{Model: "m", Revision: 2}}})
-		s.probe()
-		Expect(comes()).To(BeFalse(), "it serves the newest")
+		s.renewOutdated()
+		Expect(receive()).To(BeFalse(), "the upstream serves the newest version")
 	})
 
-	it("is proven in another failure domain too where this process has sent requests there lately, and each report is wanted from there", func() {
+	it("is probed in another failure domain too while this process sends requests there, and every report is requested", func() {
 		now := time.Unix(1000, 0)
 		clock := func() time.Time { return now }
 		f := facts.New(clock)
 		f.SetCatalog(catalog.New(1, nil, []*catalog.Service{{Name: "p", Engine: &catalog.Engine{}}}, nil, catalog.Limits{}))
-		stager := socket()
+		stager := newSocket()
 		i := &facts.Instance{ID: "i", Pool: "p", Domain: "elsewhere", Address: "127.0.0.1:9", Held: []facts.Held{{Model: "m", Revision: 1}}}
 		f.SetInstance(i)
 		f.SetWanted("m", facts.Publication{Revision: 2, PublishTime: dating.TimeBounds{After: now}})
-		s := NewSubscriber(socket(), port(stager), "d", f, clock, quiet)
-		comes := func() *pb.ReportSubscription {
+		s := NewSubscriber(newSocket(), portOf(stager), "d", f, clock, discardLog)
+		receive := func() *pb.ReportSubscription {
 			_ = stager.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-			b := make([]byte, datagramBytes)
+			b := make([]byte, maxDatagramBytes)
 			n, err := stager.Read(b)
 			q := &pb.ReportSubscription{}
 			if err != nil || proto.Unmarshal(b[:n], q) != nil {
@@ -59,61 +59,61 @@
 			}
 			return q
 		}
-		s.probe()
-		Expect(comes()).To(BeNil())
+		s.renewOutdated()
+		Expect(receive()).To(BeNil())
 		s.tracker.Begin(i.Address, 1).End()
-		s.probe()
-		Expect(comes().GetEach()).To(BeTrue())
+		s.renewOutdated()
+		Expect(receive().GetEach()).To(BeTrue())
 		s.renew()
-		Expect(comes().GetEach()).To(BeTrue(), "the usual renewal does not take it back")
+		Expect(receive().GetEach()).To(BeTrue(), "the regular renewal requests every report, too")
 		now = now.Add(3 * time.Second)
-		s.probe()
-		Expect(comes()).To(BeNil())
+		s.renewOutdated()
+		Expect(receive()).To(BeNil())
 	})
 
-	it("is timed without the time for which its stager had the stamp", func() {
+	it("has a round-trip time that excludes the time for which the stager held the stamp", func() {
 		now := time.Unix(1000, 0)
 		clock := func() time.Time { return now }
-		own := socket()
-		s := NewSubscriber(own, 1, "d", facts.New(clock), clock, quiet)
-		r := NewReporter(socket(), "d", facts.New(clock), clock, quiet)
-		b, _ := proto.Marshal(&pb.ReportSubscription{Sender: own.LocalAddr().String(), Domain: "d", Stamp: s.stamps.at(now)})
-		sent := now
+		gateway := newSocket()
+		s := NewSubscriber(gateway, 1, "d", facts.New(clock), clock, discardLog)
+		r := NewReporter(newSocket(), "d", facts.New(clock), clock, discardLog)
+		b, _ := proto.Marshal(&pb.ReportSubscription{Sender: gateway.LocalAddr().String(), Domain: "d", Stamp: s.stamps.encode(now)})
+		sentAt := now
 		now = now.Add(30 * time.Millisecond)
-		r.take(b)
+		r.handleDatagram(b)
 		now = now.Add(180 * time.Millisecond)
 		r.Publish(&pb.UpstreamReport{Address: "a"}, now)
-		text := make([]byte, datagramBytes)
-		n, err := own.Read(text)
+		datagram := make([]byte, maxDatagramBytes)
+		n, err := gateway.Read(datagram)
 		Expect(err).NotTo(HaveOccurred())
 		now = now.Add(20 * time.Millisecond)
-		s.take(text[:n])
+		s.handleDatagram(datagram[:n])
 		l, _ := s.tracker.FreshReport("a")
-		Expect(l.EchoedStamp).To(Equal(sent))
+		Expect(l.EchoedStamp).To(Equal(sentAt))
 		Expect(l.StampHeldFor).To(Equal(180 * time.Millisecond))
-		Expect(l.Interval).To(Equal(nearEvery))
+		Expect(l.Interval).To(Equal(localReportInterval))
 	})
 
-	it("is told which configuration its stager has: it is behind while that is older than this process's", func() {
-		f, far := facts.New(time.Now), facts.New(time.Now)
-		own := socket()
-		s := NewSubscriber(own, 1, "d", f, time.Now, quiet)
-		r := NewReporter(socket(), "d", far, time.Now, quiet)
-		b, _ := proto.Marshal(&pb.ReportSubscription{Sender: own.LocalAddr().String(), Domain: "d"})
-		r.take(b)
+	it("is known with the configuration version that the stager has", func() {
+		f, remote := facts.New(time.Now), facts.New(time.Now)
+		gateway := newSocket()
+		s := NewSubscriber(gateway, 1, "d", f, time.Now, discardLog)
+		r := NewReporter(newSocket(), "d", remote, time.Now, discardLog)
+		b, _ := proto.Marshal(&pb.ReportSubscription{Sender: gateway.LocalAddr().String(), Domain: "d"})
+		r.handleDatagram(b)
 		config := func() uint64 {
 			r.Publish(&pb.UpstreamReport{Address: "a"}, time.Now())
-			text := make([]byte, datagramBytes)
-			n, err := own.Read(text)
+			datagram := make([]byte, maxDatagramBytes)
+			n, err := gateway.Read(datagram)
 			Expect(err).NotTo(HaveOccurred())
-			s.take(text[:n])
+			s.handleDatagram(datagram[:n])
 			l, _ := s.tracker.FreshReport("a")
 			return l.ConfigVersion
 		}
 		Expect(config()).To(BeZero())
-		far.SetCatalog(catalog.New(2, nil, nil, nil, catalog.Limits{}))
+		remote.SetCatalog(catalog.New(2, nil, nil, nil, catalog.Limits{}))
 		Expect(config()).To(BeEquivalentTo(2))
-		far.SetCatalog(catalog.New(4, nil, nil, nil, catalog.Limits{}))
+		remote.SetCatalog(catalog.New(4, nil, nil, nil, catalog.Limits{}))
 		Expect(config()).To(BeEquivalentTo(4))
 	})
 })
--- a/internal/reports/reporter.go
+++ b/internal/reports/reporter.go
@@ -24,10 +24,11 @@
 	"github.com/springrail/springrail/internal/traffic"
 )
 
-// ReporterPart is what other parts name in their needs.
+// ReporterPart is the name under which other parts list the reporter as a dependency.
 const ReporterPart = "reporter"
 
-// maxSubscribers bounds the gateways that a stager reports to; the users' target has 350 nodes in 8 failure domains.
+// maxSubscribers limits the gateways that a stager reports to. The largest planned deployment has 350 nodes in 8 failure
+// domains.
 const maxSubscribers = 512
 
 func init() {
@@ -43,14 +44,14 @@
 			}
 			r := NewReporter(conn, h.Identity.Domain, h.Part(facts.PartName).(*facts.Facts), clock.Now, h.Log)
 			c := h.Part(traffic.PartName).(*traffic.Part).Counter
-			r.sent = func(to id.Domain, bytes int) { c.Datagram(traffic.Reports, to, bytes) }
+			r.onSent = func(to id.Domain, bytes int) { c.Datagram(traffic.Reports, to, bytes) }
 			h.Metric("reports", r.vars)
 			return r, nil
 		},
 	})
 }
 
-// Reporter is a stager's end.
+// Reporter sends the reports of one stager to the gateways that subscribe to them.
 type Reporter struct {
 	conn        *net.UDPConn
 	domain      id.Domain
@@ -59,79 +60,80 @@
 	log         *log.Logger
 	vars        *expvar.Map
 	incarnation uint64
-	// sent is told of each report.
-	sent func(to id.Domain, bytes int)
+	// onSent is called with the destination and the size of each datagram sent.
+	onSent func(to id.Domain, bytes int)
 
 	mu          sync.Mutex
-	number      uint64
+	lastNumber  uint64
 	subscribers map[string]subscriber
-	// retell is true once the demand has changed much since the last report.
-	retell bool
-	// told is what the last report said beside the load, and urgent how many of the next reports go to all.
-	told   string
-	urgent int
-	// newsLimit bounds the news that this process passes on.
+	// demandChanged is true if the demand has changed considerably since the last report that contained it.
+	demandChanged bool
+	// lastState is the content of the last report except for the load, and urgentPending is how many of the next reports
+	// go to all subscribers because that content changed.
+	lastState     string
+	urgentPending int
+	// newsLimit limits the rate of crash news that this process forwards.
 	newsLimit *rate.Limiter
-	// address is the upstream's.
-	address string
+	// upstreamAddress is the address of the stager's upstream, as in the last report.
+	upstreamAddress string
 
-	// limiter gives the permits of an upstream that names a limit.
+	// limiter issues the permits of an upstream that names a rate limit.
 	limiter *throttle.Limiter
 }
 
-// subscriber is a gateway with the moment at which its subscription ends.
+// subscriber is a gateway with its subscription.
 type subscriber struct {
-	to    *net.UDPAddr
-	until time.Time
-	// near is true in the own failure domain.
-	near   bool
+	addr      *net.UDPAddr
+	expiresAt time.Time
+	// local is true for a gateway in the stager's own failure domain.
+	local  bool
 	domain id.Domain
-	// each is true of a gateway that wants every report although it is in another failure domain.
-	each bool
-	// offered and offeredLate are the requests a second that it says callers bring.
+	// everyReport is true for a gateway in another failure domain that requested every report.
+	everyReport bool
+	// offered and offeredLate are the requests per second that callers offer to the gateway, by its own count.
 	offered, offeredLate float64
-	// stamp is its newest one, and stamped when that came.
-	stamp   uint64
-	stamped time.Time
+	// stamp is the newest stamp of the gateway, and stampedAt is when it arrived.
+	stamp     uint64
+	stampedAt time.Time
 }
 
-// NewReporter makes a reporter of a failure domain over a socket.
+// NewReporter creates a reporter for a stager in a failure domain; it sends and receives on the given socket.
 func NewReporter(c *net.UDPConn, d id.Domain, f *facts.Facts, now func() time.Time, l *log.Logger) *Reporter {
 	return &Reporter{
 		conn: c, domain: d, facts: f, now: now, log: l, vars: new(expvar.Map), incarnation: rand.Uint64() | 1,
-		subscribers: map[string]subscriber{}, sent: func(id.Domain, int) {}, newsLimit: rate.NewLimiter(passedPerSecond, passedAtOnce),
+		subscribers: map[string]subscriber{}, onSent: func(id.Domain, int) {}, newsLimit: rate.NewLimiter(forwardedPerSecond, forwardedBurst),
 		limiter: throttle.NewLimiter(now),
 	}
 }
 
-// Limiter gives the permits of the upstream beside this process.
+// Limiter returns the limiter that issues the permits of the stager's upstream.
 func (r *Reporter) Limiter() *throttle.Limiter {
 	return r.limiter
 }
 
-// Run takes subscriptions until the context ends.
+// Run receives subscriptions until the context ends.
 func (r *Reporter) Run(ctx context.Context) error {
 	defer context.AfterFunc(ctx, func() { r.conn.Close() })()
-	receive(ctx, r.conn, r.vars, r.take)
+	receive(ctx, r.conn, r.vars, r.handleDatagram)
 	return nil
 }
 
-func (r *Reporter) take(b []byte) {
+func (r *Reporter) handleDatagram(b []byte) {
 	var s pb.ReportSubscription
 	if err := proto.Unmarshal(b, &s); err != nil {
 		r.vars.Add("malformed", 1)
 		return
 	}
 	if s.GetNews() != nil {
-		r.passOn(s.GetNews())
+		r.forwardNews(s.GetNews())
 		return
 	}
 	if s.GetPermit() != nil {
-		r.takePermit(s.GetPermit())
+		r.handlePermitRequest(s.GetPermit())
 		return
 	}
-	to, err := net.ResolveUDPAddr("udp4", s.GetSender())
-	if err != nil || to.IP == nil {
+	addr, err := net.ResolveUDPAddr("udp4", s.GetSender())
+	if err != nil || addr.IP == nil {
 		r.vars.Add("malformed", 1)
 		return
 	}
@@ -139,11 +141,11 @@
 	for _, h := range s.GetProved() {
 		if r.facts.ObserveRevision(id.Model(h.GetModel()), id.Revision(h.GetRevision())) {
 			r.log.Warn().Str("model", h.GetModel()).Uint64("revision", h.GetRevision()).Str("gateway", s.GetSender()).
-				Msg("a gateway knows of a newer version than any record names")
+				Msg("a gateway reports a newer version than the newest record")
 		}
 	}
-	near := id.Domain(s.GetDomain()) == r.domain
-	if near {
+	local := id.Domain(s.GetDomain()) == r.domain
+	if local {
 		r.facts.NoteGateway(s.GetSender())
 	}
 	r.mu.Lock()
@@ -153,167 +155,173 @@
 		return
 	}
 	old := r.subscribers[s.GetSender()]
-	r.retell = r.retell || math.Abs(old.offered-s.GetOffered()) > offerLeast+offerChange*old.offered
+	r.demandChanged = r.demandChanged || math.Abs(old.offered-s.GetOffered()) > minLoadChange+loadChangeShare*old.offered
 	r.subscribers[s.GetSender()] = subscriber{
-		to: to, until: r.now().Add(subscriptionLife), near: near, domain: id.Domain(s.GetDomain()), each: s.GetEach(),
-		offered: max(0, s.GetOffered()), offeredLate: max(0, s.GetOfferedLate()), stamp: s.GetStamp(), stamped: r.now(),
+		addr: addr, expiresAt: r.now().Add(subscriptionTTL), local: local, domain: id.Domain(s.GetDomain()), everyReport: s.GetEach(),
+		offered: max(0, s.GetOffered()), offeredLate: max(0, s.GetOfferedLate()), stamp: s.GetStamp(), stampedAt: r.now(),
 	}
 }
 
 const (
-	// farEvery is the number of reports of which one goes to the gateways of other failure domains: one a second, as
-	// that is how often a report tells the demand. A gateway rarely chooses beyond its own domain; one that does asks
-	// for each. Reports are most of the bytes between regions on a quiet day.
-	farEvery = nameEvery
-	// farTime is the time between two of these.
-	farTime = time.Second
-	// urgentReports is how many reports in a row go to all once anything but the load has changed: the first may be lost, and an
-	// upstream that is about to load waits for the second (stager).
+	// remoteReportEvery is the interval, in reports, at which gateways of other failure domains get one. It makes one a
+	// second, which is how often a report contains the demand. A gateway rarely sends requests outside its own domain;
+	// one that does requests every report. Reports are most of the traffic between regions when little else happens.
+	remoteReportEvery = gatewayListEvery
+	// remoteReportInterval is the time between two reports to a gateway of another failure domain.
+	remoteReportInterval = time.Second
+	// urgentReports is how many consecutive reports go to all subscribers after anything but the load has changed. The
+	// first may be lost, and an upstream that is about to load waits for the second one.
 	urgentReports = 2
 )
 
-// Publish sends a report to its subscribers: to those of the own failure domain and those that want each, and now and
-// then, or when anything but the load has changed, to all. What it tells was read from a moment on, made.
-func (r *Reporter) Publish(p *pb.UpstreamReport, made time.Time) {
+// Publish sends a report to its subscribers. Gateways of the same failure domain and those that requested every report
+// get each one; the others get one at the remote interval, or if anything but the load has changed. readAt is when the
+// reading of the report's data began.
+func (r *Reporter) Publish(p *pb.UpstreamReport, readAt time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
 	for name, s := range r.subscribers {
-		if now.After(s.until) {
+		if now.After(s.expiresAt) {
 			delete(r.subscribers, name)
 		}
 	}
-	r.number++
-	heard, _ := r.facts.ConfigOffset()
-	p.ConfigOffset = uint64(heard)
+	r.lastNumber++
+	offset, _ := r.facts.ConfigOffset()
+	p.ConfigOffset = uint64(offset)
 	if c := r.facts.Catalog(); c != nil {
 		p.Config = c.Revision
 	}
-	p.Incarnation, p.Number, p.Subscribers = r.incarnation, r.number, uint32(len(r.subscribers))
-	p.Words = r.words(p.GetAddress(), now)
-	p.Limit, r.address = r.limit(), p.GetAddress()
-	r.noteChange(p, now)
-	toAll := r.urgent > 0 || r.number%farEvery == 0
-	r.urgent = max(0, r.urgent-1)
-	if r.number%nameEvery == 0 || r.retell {
-		r.retell = false
-		p.Demand = r.demand()
+	p.Incarnation, p.Number, p.Subscribers = r.incarnation, r.lastNumber, uint32(len(r.subscribers))
+	p.Words = r.announcements(p.GetAddress(), now)
+	p.Limit, r.upstreamAddress = r.limitMessage(), p.GetAddress()
+	r.detectChange(p, now)
+	toAll := r.urgentPending > 0 || r.lastNumber%remoteReportEvery == 0
+	r.urgentPending = max(0, r.urgentPending-1)
+	if r.lastNumber%gatewayListEvery == 0 || r.demandChanged {
+		r.demandChanged = false
+		p.Demand = r.totalDemand()
 	}
-	t, ok := r.texts(p)
+	t, ok := r.encodeAll(p)
 	if !ok {
 		return
 	}
 	for _, s := range r.subscribers {
 		switch {
-		case s.near:
-			r.send(&s, t.near, made)
-		case s.each:
-			r.send(&s, t.each, made)
+		case s.local:
+			r.send(&s, t.local, readAt)
+		case s.everyReport:
+			r.send(&s, t.everyReport, readAt)
 		case toAll:
-			r.send(&s, t.far, made)
+			r.send(&s, t.remote, readAt)
 		}
 	}
 }
 
-// texts are a report as gateways of the own failure domain get it, those elsewhere that want each, and others.
-type texts struct {
-	near, each, far []byte
+// encodedReports is one report, encoded for gateways of the same failure domain, for remote gateways that requested
+// every report, and for other remote gateways.
+type encodedReports struct {
+	local, everyReport, remote []byte
 }
 
-// texts encodes a report; the caller holds the lock.
-func (r *Reporter) texts(p *pb.UpstreamReport) (t texts, ok bool) {
-	if t.each, ok = r.encode(p); !ok {
+// encodeAll encodes a report for each group of subscribers; the caller holds the lock.
+func (r *Reporter) encodeAll(p *pb.UpstreamReport) (t encodedReports, ok bool) {
+	if t.everyReport, ok = r.encode(p); !ok {
 		return t, false
 	}
-	p.EveryMs = uint32(farTime.Milliseconds())
-	if t.far, ok = r.encode(p); !ok {
+	p.EveryMs = uint32(remoteReportInterval.Milliseconds())
+	if t.remote, ok = r.encode(p); !ok {
 		return t, false
 	}
 	p.EveryMs = 0
-	if r.number%nameEvery == 0 {
-		r.naming(p)
+	if r.lastNumber%gatewayListEvery == 0 {
+		r.addGateways(p)
 	}
-	t.near, ok = r.encode(p)
+	t.local, ok = r.encode(p)
 	return t, ok
 }
 
-func (r *Reporter) send(s *subscriber, text []byte, made time.Time) {
-	if s.stamped.Before(made) {
-		// A stamp that came while this process stood still within a report would make its ages count from after them.
-		text = withEcho(text, s.stamp, r.now().Sub(s.stamped))
+func (r *Reporter) send(s *subscriber, report []byte, readAt time.Time) {
+	if s.stampedAt.Before(readAt) {
+		// The stamp is echoed only if it arrived before the report's data was read. If this process was suspended
+		// between the two, the gateway would count the report's ages from too late a time.
+		report = withEcho(report, s.stamp, r.now().Sub(s.stampedAt))
 	}
-	if _, err := r.conn.WriteToUDP(text, s.to); err != nil {
+	if _, err := r.conn.WriteToUDP(report, s.addr); err != nil {
 		r.vars.Add("send_failed", 1)
 		return
 	}
-	r.sent(s.domain, len(text))
+	r.onSent(s.domain, len(report))
 }
 
-// noteChange makes the next reports urgent where this one says anything new beside the load; the caller holds the lock.
-func (r *Reporter) noteChange(p *pb.UpstreamReport, now time.Time) {
-	told := fmt.Sprint(p.GetClosed(), p.GetDown(), p.GetNarrow(), p.GetLeaving(), p.GetNamed().GetRevision(), p.GetBorn())
+// detectChange makes this and the next reports go to all subscribers if anything but the load has changed; the caller
+// holds the lock.
+func (r *Reporter) detectChange(p *pb.UpstreamReport, now time.Time) {
+	state := fmt.Sprint(p.GetClosed(), p.GetDown(), p.GetNarrow(), p.GetLeaving(), p.GetNamed().GetRevision(), p.GetBorn())
 	if l := p.GetLimit(); l != nil {
-		told += fmt.Sprint(" ", l.GetRate(), l.GetOver())
+		state += fmt.Sprint(" ", l.GetRate(), l.GetOver())
 	}
 	for _, h := range p.GetHeld() {
-		told += fmt.Sprint(" ", h.GetModel(), h.GetRevision())
+		state += fmt.Sprint(" ", h.GetModel(), h.GetRevision())
 	}
-	words, _ := r.facts.Announcements(now.Add(-wordFresh))
-	for _, w := range words {
-		told += fmt.Sprint(" ", w.Instance, w.Born, w.Left, w.Position)
+	announcements, _ := r.facts.Announcements(now.Add(-announcementRepeatTime))
+	for _, w := range announcements {
+		state += fmt.Sprint(" ", w.Instance, w.Born, w.Left, w.Position)
 	}
-	if told != r.told {
-		r.told, r.urgent = told, urgentReports
+	if state != r.lastState {
+		r.lastState, r.urgentPending = state, urgentReports
 	}
 }
 
-// nameEvery is the number of reports of which one names the gateways of the own failure domain and tells the demand: about
-// one a second, as gateways tell theirs that often.
-const nameEvery = 5
+// gatewayListEvery is the interval, in reports, at which a report lists the gateways of the failure domain and contains
+// the demand: about once a second, as often as gateways send their own demand.
+const gatewayListEvery = 5
 
-// wordFresh is how long each report tells a new word on an instance: three times the 3 s within which requests to it have to
-// end (the users' letter), rounded up. After that only one of nameEvery does, for gateways that were cut off meanwhile.
-const wordFresh = 10 * time.Second
+// announcementRepeatTime is how long every report contains a new announcement about an instance. Requests to an instance
+// that leaves must stop within 3 s; this is three times as long, rounded up. Later only one report in gatewayListEvery
+// contains it, for gateways that were disconnected meanwhile.
+const announcementRepeatTime = 10 * time.Second
 
-// words tells which instances have left the upstream's address by the own list; the caller holds the lock.
-func (r *Reporter) words(address string, now time.Time) []*pb.ListWord {
+// announcements encodes which instances have left the upstream's address, or are back, according to the stager's copy of
+// the upstream list; the caller holds the lock.
+func (r *Reporter) announcements(address string, now time.Time) []*pb.ListWord {
 	r.facts.WatchAddress(address)
-	since := now.Add(-wordFresh)
-	if r.number%nameEvery == 0 {
+	since := now.Add(-announcementRepeatTime)
+	if r.lastNumber%gatewayListEvery == 0 {
 		since = time.Time{}
 	}
-	told, _ := r.facts.Announcements(since)
+	announcements, _ := r.facts.Announcements(since)
 	var l []*pb.ListWord
-	for _, w := range told {
+	for _, w := range announcements {
 		l = append(l, &pb.ListWord{Instance: string(w.Instance), Born: uint64(w.Born), Left: w.Left, Offset: uint64(w.Position)})
 	}
 	return l
 }
 
-// mostNamed bounds the gateways that a report names, so that it stays below datagramBytes; the users' target has 44 in
-// a failure domain.
-const mostNamed = 64
+// maxListedGateways limits the gateways listed in a report, so that it stays below maxDatagramBytes. The largest planned
+// deployment has 44 in a failure domain.
+const maxListedGateways = 64
 
-// mostDomains bounds the failure domains whose demand a report tells; the users' target has 8.
-const mostDomains = 16
+// maxDemandDomains limits the failure domains whose demand a report contains; the largest planned deployment has 8.
+const maxDemandDomains = 16
 
-// naming adds the gateways of the own failure domain to a report; the caller holds the lock.
-func (r *Reporter) naming(p *pb.UpstreamReport) {
+// addGateways lists the gateways of the stager's failure domain in a report; the caller holds the lock.
+func (r *Reporter) addGateways(p *pb.UpstreamReport) {
 	for name, s := range r.subscribers {
-		if s.near && len(p.GetGateways()) < mostNamed {
+		if s.local && len(p.GetGateways()) < maxListedGateways {
 			p.Gateways = append(p.Gateways, name)
 		}
 	}
 }
 
-// demand adds up by failure domain what the subscribers say that callers bring; the caller holds the lock.
-func (r *Reporter) demand() []*pb.Demand {
+// totalDemand sums the load that callers offer to the subscribers, per failure domain; the caller holds the lock.
+func (r *Reporter) totalDemand() []*pb.Demand {
 	by := map[id.Domain]*pb.Demand{}
 	var l []*pb.Demand
 	for _, s := range r.subscribers {
 		d := by[s.domain]
 		if d == nil {
-			if len(l) >= mostDomains {
+			if len(l) >= maxDemandDomains {
 				continue
 			}
 			d = &pb.Demand{Domain: string(s.domain)}
@@ -329,7 +337,7 @@
 func (r *Reporter) encode(p *pb.UpstreamReport) ([]byte, bool) {
 	b, err := proto.Marshal(p)
 	if err != nil {
-		r.log.Error().Err(err).Msg("a report can't be encoded")
+		r.log.Error().Err(err).Msg("failed to encode a report")
 	}
 	return b, err == nil
 }
--- a/internal/reports/stamp.go
+++ b/internal/reports/stamp.go
@@ -7,46 +7,50 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// stamps mark the moments at which a gateway sends its subscriptions. Reports bring the newest one back that their
-// stager had, which proves that they were made after it: datagrams tell nothing of how long they were on their way, and
-// behind chunks of weights on a link of 0.2 to 0.6 Mbit/s that is seconds.
+// stamps encodes the times at which a gateway sends its subscriptions. Each report echoes the newest stamp that the
+// stager has received, which proves that the report was made after that time. Datagrams carry no transit time, and
+// behind chunks of weights on a link of 0.2 to 0.6 Mbit/s they take seconds.
 type stamps struct {
-	// start is what stamps count from, and life tells the stamps of this start of the process from those of an earlier one.
-	start time.Time
-	life  uint64
+	// start is the time that stamps count from. incarnation is a random number that distinguishes this lifetime of the
+	// process from earlier ones.
+	start       time.Time
+	incarnation uint64
 }
 
-// lifeBits is how many bits of a stamp tell the start of the process. With 16 a stamp takes 6 to 7 bytes in a datagram of 150.
-const lifeBits = 16
+// incarnationBits is the size of the incarnation within a stamp. With 16 bits, a stamp takes 6 to 7 bytes in a datagram
+// of 150.
+const incarnationBits = 16
 
 func newStamps(now time.Time) stamps {
-	return stamps{start: now, life: rand.Uint64N(1 << lifeBits)}
+	return stamps{start: now, incarnation: rand.Uint64N(1 << incarnationBits)}
 }
 
-// at is the stamp of a moment.
-func (s *stamps) at(now time.Time) uint64 {
-	return uint64(now.Sub(s.start).Milliseconds())<<lifeBits | s.life
+// encode returns the stamp of a time.
+func (s *stamps) encode(now time.Time) uint64 {
+	return uint64(now.Sub(s.start).Milliseconds())<<incarnationBits | s.incarnation
 }
 
-// moment is when the process sent a stamp, or a little earlier; zero for one that is not of this start of it.
-func (s *stamps) moment(stamp uint64, now time.Time) time.Time {
-	since := time.Duration(stamp>>lifeBits) * time.Millisecond
-	if stamp == 0 || stamp&(1<<lifeBits-1) != s.life || since > now.Sub(s.start) {
+// decode returns the time of a stamp, rounded down to a millisecond; zero for a stamp of another incarnation, or of the
+// future.
+func (s *stamps) decode(stamp uint64, now time.Time) time.Time {
+	elapsed := time.Duration(stamp>>incarnationBits) * time.Millisecond
+	if stamp == 0 || stamp&(1<<incarnationBits-1) != s.incarnation || elapsed > now.Sub(s.start) {
 		return time.Time{}
 	}
-	return s.start.Add(since)
+	return s.start.Add(elapsed)
 }
 
-// echoField and heldField are the numbers of UpstreamReport.echo and echo_held_ms.
-const echoField, heldField = 21, 22
+// echoField and echoHeldField are the field numbers of UpstreamReport.echo and UpstreamReport.echo_held_ms.
+const echoField, echoHeldField = 21, 22
 
-// withEcho adds the receiver's stamp, and how long it has been here, to a report that is encoded once for all receivers.
-func withEcho(text []byte, stamp uint64, held time.Duration) []byte {
+// withEcho appends the receiver's stamp, and how long the stager has held it, to a report that is encoded once for all
+// receivers.
+func withEcho(report []byte, stamp uint64, heldFor time.Duration) []byte {
 	if stamp == 0 {
-		return text
+		return report
 	}
-	b := protowire.AppendTag(text[:len(text):len(text)], echoField, protowire.VarintType)
+	b := protowire.AppendTag(report[:len(report):len(report)], echoField, protowire.VarintType)
 	b = protowire.AppendVarint(b, stamp)
-	b = protowire.AppendTag(b, heldField, protowire.VarintType)
-	return protowire.AppendVarint(b, uint64(max(0, held.Milliseconds())))
+	b = protowire.AppendTag(b, echoHeldField, protowire.VarintType)
+	return protowire.AppendVarint(b, uint64(max(0, heldFor.Milliseconds())))
 }
--- a/internal/reports/subscribe.go
+++ b/internal/reports/subscribe.go
@@ -13,30 +13,32 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// subscribe renews the subscriptions at the stagers of all engines in the list.
+// subscribe renews the subscriptions at the stagers of all listed engines until the context ends.
 func (s *Subscriber) subscribe(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.renew()
-		s.pause(ctx)
+		s.waitForRenewal(ctx)
 	}
 }
 
 const (
-	// offerEvery is how often a gateway looks whether what callers bring has changed so much that stagers should know
-	// before the next subscription: by offerChange of what they were told and offerLeast requests a second.
-	offerEvery  = 200 * time.Millisecond
-	offerChange = 0.25
-	offerLeast  = 5
+	// loadCheckInterval is how often a gateway compares its offered load with what it last sent to the stagers. It
+	// renews its subscriptions early if the load has changed by more than loadChangeShare of that plus minLoadChange
+	// requests per second.
+	loadCheckInterval = 200 * time.Millisecond
+	loadChangeShare   = 0.25
+	minLoadChange     = 5
 )
 
-// pause waits until the subscriptions are due: in time, when the list of upstreams changes, or when the load jumps. After a
-// restart of all gateways nobody would else know for two seconds what the others let in.
-func (s *Subscriber) pause(ctx context.Context) {
+// waitForRenewal waits until the subscriptions are due for renewal: after subscribeInterval, or earlier if the upstream
+// list, the load or the need for every report changes. Otherwise, after a restart of all gateways, none would know the
+// others' load for two seconds.
+func (s *Subscriber) waitForRenewal(ctx context.Context) {
 	changed := s.facts.Changed()
-	told, each := s.offers.Total(), s.wantsEach()
-	until := s.now().Add(subscribeEvery)
+	sentTotal, sentEvery := s.demandMeter.Total(), s.wantsEveryReport()
+	until := s.now().Add(subscribeInterval)
 	for s.now().Before(until) {
-		t := time.NewTimer(offerEvery)
+		t := time.NewTimer(loadCheckInterval)
 		select {
 		case <-ctx.Done():
 			t.Stop()
@@ -45,41 +47,43 @@
 			t.Stop()
 			return
 		case <-t.C:
-			s.probe()
+			s.renewOutdated()
 		}
-		if math.Abs(s.offers.Total()-told) > offerLeast+offerChange*told || s.wantsEach() != each {
+		if math.Abs(s.demandMeter.Total()-sentTotal) > minLoadChange+loadChangeShare*sentTotal || s.wantsEveryReport() != sentEvery {
 			return
 		}
 	}
 }
 
-// eachShare is the share of its requests that a gateway sends beyond its failure domain from which on it wants each report of the
-// upstreams there. Below it a view that is a second old costs few requests; other shares have not been tried.
-const eachShare = 0.1
+// everyReportShare is the share of a gateway's requests sent to other failure domains above which it requests every
+// report of the upstreams there. Below it, load data that is one second old misroutes few requests.
+const everyReportShare = 0.1
 
-// wantsEach says whether so much goes beyond the own failure domain that the choice there needs views as fresh as at home.
-func (s *Subscriber) wantsEach() bool {
-	return s.offers.CrossDomain.Total() > eachShare*s.offers.Total()
+// wantsEveryReport reports whether so many requests go to other failure domains that the choice among upstreams there
+// needs load data as fresh as in the gateway's own domain.
+func (s *Subscriber) wantsEveryReport() bool {
+	return s.demandMeter.CrossDomain.Total() > everyReportShare*s.demandMeter.Total()
 }
 
-// subscription encodes what a group of stagers is told.
-func (s *Subscriber) subscription(of group) text {
-	heard, _ := s.facts.ConfigOffset()
+// encodeSubscription encodes the subscription that a group of stagers receives.
+func (s *Subscriber) encodeSubscription(g subscriptionGroup) encodedSubscription {
+	offset, _ := s.facts.ConfigOffset()
 	now := s.now()
-	stamp := s.stamps.at(now)
+	stamp := s.stamps.encode(now)
 	b, err := proto.Marshal(&pb.ReportSubscription{
-		Sender: s.conn.LocalAddr().String(), ConfigOffset: uint64(heard), Domain: string(s.domain),
-		Offered: s.offers.OnTime.PerSecond(of.pool), OfferedLate: s.offers.Late.PerSecond(of.pool), Each: of.each,
-		Stamp: stamp, Proved: s.proved(of.pool),
+		Sender: s.conn.LocalAddr().String(), ConfigOffset: uint64(offset), Domain: string(s.domain),
+		Offered: s.demandMeter.OnTime.PerSecond(g.pool), OfferedLate: s.demandMeter.Late.PerSecond(g.pool), Each: g.everyReport,
+		Stamp: stamp, Proved: s.unrecordedVersions(g.pool),
 	})
 	if err != nil {
-		s.log.Error().Err(err).Msg("a subscription can't be encoded")
+		s.log.Error().Err(err).Msg("failed to encode a subscription")
 	}
-	return text{bytes: b, stamp: s.stamps.moment(stamp, now)}
+	return encodedSubscription{datagram: b, stampedAt: s.stamps.decode(stamp, now)}
 }
 
-// proved lists the versions of a pool's models that no record names: stagers beside empty upstreams don't know them.
-func (s *Subscriber) proved(p id.Pool) (l []*pb.HeldWeights) {
+// unrecordedVersions lists the versions of a pool's models that this gateway knows of without a record. Stagers of
+// upstreams that hold no weights don't know them.
+func (s *Subscriber) unrecordedVersions(p id.Pool) (l []*pb.HeldWeights) {
 	c := s.facts.Catalog()
 	if c == nil || c.Services[p] == nil || c.Services[p].Engine == nil {
 		return nil
@@ -98,40 +102,41 @@
 		return
 	}
 	listed := map[string]bool{}
-	texts := map[group]text{}
+	encoded := map[subscriptionGroup]encodedSubscription{}
 	for _, i := range s.facts.Instances() {
 		listed[i.Address] = true
 		if p := c.Services[i.Pool]; p != nil && p.Engine != nil {
-			s.subscribeTo(i, texts)
+			s.subscribeTo(i, encoded)
 		}
 	}
-	s.sweep(listed)
+	s.forgetUnlisted(listed)
 }
 
-// probe renews the subscriptions at the stagers of upstreams that lag behind a newer version: which of them may get
-// requests in the last seconds of their version rests on how lately the way there was proven, and by the usual renewals
-// that is 1.2 s.
-func (s *Subscriber) probe() {
+// renewOutdated renews the subscriptions at the stagers of upstreams that serve an outdated version. Which of them may
+// get requests in the last seconds of their version depends on how recently their connection was confirmed, and the
+// regular renewals confirm it only every 1.2 s.
+func (s *Subscriber) renewOutdated() {
 	c := s.facts.Catalog()
 	if c == nil {
 		return
 	}
-	texts := map[group]text{}
+	encoded := map[subscriptionGroup]encodedSubscription{}
 	for _, i := range s.facts.Instances() {
-		if p := c.Services[i.Pool]; p != nil && p.Engine != nil && (i.Domain == s.domain || s.each(i)) && s.lags(i) {
-			s.subscribeTo(i, texts)
+		if p := c.Services[i.Pool]; p != nil && p.Engine != nil && (i.Domain == s.domain || s.wantsEveryReportOf(i)) && s.servesOutdated(i) {
+			s.subscribeTo(i, encoded)
 		}
 	}
 }
 
-// each says whether each report of an upstream in another failure domain is wanted: where much is sent beyond the own
-// one, and, of one that lags behind a newer version, where anything was sent lately.
-func (s *Subscriber) each(i *facts.Instance) bool {
-	return s.wantsEach() || (i.Domain != s.domain && s.tracker.RecentlyUsed(i.Address) && s.lags(i))
+// wantsEveryReportOf reports whether every report of an upstream is requested: if a large share of the requests goes to
+// other failure domains, or if the upstream is in another failure domain, serves an outdated version and was sent
+// requests recently.
+func (s *Subscriber) wantsEveryReportOf(i *facts.Instance) bool {
+	return s.wantsEveryReport() || (i.Domain != s.domain && s.tracker.RecentlyUsed(i.Address) && s.servesOutdated(i))
 }
 
-// lags says whether an upstream serves a version that a newer one follows.
-func (s *Subscriber) lags(i *facts.Instance) bool {
+// servesOutdated reports whether an upstream serves a version for which a newer one has been published.
+func (s *Subscriber) servesOutdated(i *facts.Instance) bool {
 	held := i.Held
 	if r, ok := s.tracker.Report(i); ok {
 		held = r.Held
@@ -144,41 +149,41 @@
 	return false
 }
 
-// group is the stagers that are told the same.
-type group struct {
-	pool id.Pool
-	each bool
+// subscriptionGroup identifies stagers that receive the same subscription.
+type subscriptionGroup struct {
+	pool        id.Pool
+	everyReport bool
 }
 
-// text is what a group of stagers is told, with the moment of its stamp.
-type text struct {
-	bytes []byte
-	stamp time.Time
+// encodedSubscription is the datagram for a group of stagers, with the time of its stamp.
+type encodedSubscription struct {
+	datagram  []byte
+	stampedAt time.Time
 }
 
-// subscribeTo sends a subscription to the stager beside an upstream; texts holds those made for groups before.
-func (s *Subscriber) subscribeTo(i *facts.Instance, texts map[group]text) {
+// subscribeTo sends a subscription to an upstream's stager; encoded caches the datagrams of the groups.
+func (s *Subscriber) subscribeTo(i *facts.Instance, encoded map[subscriptionGroup]encodedSubscription) {
 	host, _, err := net.SplitHostPort(i.Address)
 	if err != nil {
 		return
 	}
-	of := group{pool: i.Pool, each: s.each(i)}
-	t, ok := texts[of]
+	g := subscriptionGroup{pool: i.Pool, everyReport: s.wantsEveryReportOf(i)}
+	t, ok := encoded[g]
 	if !ok {
-		t = s.subscription(of)
-		texts[of] = t
+		t = s.encodeSubscription(g)
+		encoded[g] = t
 	}
-	to := &net.UDPAddr{IP: net.ParseIP(host), Port: s.port}
-	if _, err := s.conn.WriteToUDP(t.bytes, to); err != nil {
+	addr := &net.UDPAddr{IP: net.ParseIP(host), Port: s.port}
+	if _, err := s.conn.WriteToUDP(t.datagram, addr); err != nil {
 		s.vars.Add("send_failed", 1)
 		return
 	}
-	s.sent(i.Domain, len(t.bytes))
-	s.tracker.RecordProbe(i.Address, t.stamp)
+	s.onSent(i.Domain, len(t.datagram))
+	s.tracker.RecordProbe(i.Address, t.stampedAt)
 }
 
-// sweep forgets stagers whose upstreams are no longer listed.
-func (s *Subscriber) sweep(listed map[string]bool) {
+// forgetUnlisted removes the state of stagers whose upstreams are no longer listed.
+func (s *Subscriber) forgetUnlisted(listed map[string]bool) {
 	s.mu.Lock()
 	for a := range s.stagers {
 		if !listed[a] {
--- a/internal/reports/subscriber.go
+++ b/internal/reports/subscriber.go
@@ -1,6 +1,6 @@
-// Package reports carries the figures of upstreams from the stagers beside them to the gateways that use them, by
-// datagrams: a lost one is made good by the next. A gateway subscribes to each stager again and again; a stager reports
-// to those that did so lately, and so needs no list of gateways.
+// Package reports sends load reports of upstreams from their stagers to the gateways, as UDP datagrams; the next report
+// makes up for a lost one. A gateway renews its subscription at each stager periodically, and a stager reports to the
+// gateways that have subscribed recently, so it needs no list of gateways.
 package reports
 
 import (
@@ -25,25 +25,25 @@
 	"github.com/springrail/springrail/internal/traffic"
 )
 
-// SubscriberPart is what other parts name in their needs.
+// SubscriberPart is the name under which other parts list the subscriber as a dependency.
 const SubscriberPart = "subscriber"
 
 const (
-	// subscribeEvery is how often a gateway renews its subscriptions; a stager forgets one after subscriptionLife.
-	subscribeEvery   = time.Second
-	subscriptionLife = 3500 * time.Millisecond
-	// datagramBytes is above any report: names of some tens of bytes of eight models, mostDomains and four instances, and
-	// mostNamed addresses of 21 bytes made 3.2 KB.
-	datagramBytes = 4096
-	// defaultGateways is how many gateways are taken to share the budgets before a stager has said so.
+	// subscribeInterval is how often a gateway renews its subscriptions; a stager drops one after subscriptionTTL.
+	subscribeInterval = time.Second
+	subscriptionTTL   = 3500 * time.Millisecond
+	// maxDatagramBytes is larger than any report: one with names of some tens of bytes, eight models, maxDemandDomains
+	// domains, four instances, and maxListedGateways addresses of 21 bytes takes 3.2 KB.
+	maxDatagramBytes = 4096
+	// defaultGateways is the assumed number of gateways that share the rate limits of upstreams, until a stager reports it.
 	defaultGateways = 8
 )
 
-// Settings is the section [subscriber] or [reporter].
+// Settings is the section [subscriber] or [reporter] of the settings.
 type Settings struct {
-	// Listen is the address of the datagrams of this process.
+	// Listen is the address on which this process receives datagrams.
 	Listen string `toml:"listen"`
-	// Port is the port of the datagrams of stagers.
+	// Port is the port on which stagers receive datagrams.
 	Port int `toml:"port"`
 }
 
@@ -68,7 +68,7 @@
 			}
 			r := NewSubscriber(c, s.Port, h.Identity.Domain, h.Part(facts.PartName).(*facts.Facts), clock.Now, h.Log)
 			t := h.Part(traffic.PartName).(*traffic.Part).Counter
-			r.sent = func(to id.Domain, bytes int) { t.Datagram(traffic.Subscriptions, to, bytes) }
+			r.onSent = func(to id.Domain, bytes int) { t.Datagram(traffic.Subscriptions, to, bytes) }
 			h.Metric("reports", r.vars)
 			return r, nil
 		},
@@ -84,66 +84,68 @@
 	return c, trace.Wrap(err)
 }
 
-// Subscriber is a gateway's end.
+// Subscriber receives the reports of all stagers for one gateway.
 type Subscriber struct {
-	conn    *net.UDPConn
-	port    int
-	domain  id.Domain
-	facts   *facts.Facts
-	tracker *placement.Tracker
-	offers  *placement.DemandMeter
-	now     func() time.Time
-	log     *log.Logger
-	vars    *expvar.Map
-	stamps  stamps
-	// sent is told of each subscription.
-	sent func(to id.Domain, bytes int)
+	conn        *net.UDPConn
+	port        int
+	domain      id.Domain
+	facts       *facts.Facts
+	tracker     *placement.Tracker
+	demandMeter *placement.DemandMeter
+	now         func() time.Time
+	log         *log.Logger
+	vars        *expvar.Map
+	stamps      stamps
+	// onSent is called with the destination and the size of each datagram sent.
+	onSent func(to id.Domain, bytes int)
 
-	// OnCrashNews is told of what other gateways say of upstreams that have crashed; it is set before Run.
+	// OnCrashNews is called with crash news from other gateways; it must be set before Run.
 	OnCrashNews func(n *pb.CrashNews)
 
-	// refusedLines bounds the lines on dates that can't be right.
-	refusedLines *rate.Limiter
-	// newsLimit bounds the news of this process.
+	// refusedDateLogs limits the rate of log lines about refused publish times.
+	refusedDateLogs *rate.Limiter
+	// newsLimit limits the rate of crash news that this process sends.
 	newsLimit *rate.Limiter
 
-	questions questions
+	permitRequests pendingPermits
 
 	mu sync.Mutex
-	// stagers is what each has said, by its upstream's address.
-	stagers map[string]*heard
+	// stagers is the state of each stager, by the address of its upstream.
+	stagers map[string]*stagerState
 }
 
-// NewSubscriber makes a subscriber of a failure domain over a socket; port is that of the stagers.
+// NewSubscriber creates a subscriber for a gateway in a failure domain; it sends and receives on the given socket, and
+// stagers receive on port.
 func NewSubscriber(c *net.UDPConn, port int, d id.Domain, f *facts.Facts, now func() time.Time, l *log.Logger) *Subscriber {
 	s := &Subscriber{
 		conn: c, port: port, domain: d, facts: f, tracker: placement.NewTracker(now), now: now, log: l, vars: new(expvar.Map),
-		stagers: map[string]*heard{}, stamps: newStamps(now()),
-		refusedLines: rate.NewLimiter(refusedPerSecond, 1), newsLimit: rate.NewLimiter(newsPerSecond, newsAtOnce),
-		OnCrashNews: func(*pb.CrashNews) {},
-		offers:      placement.NewDemandMeter(now),
-		sent:        func(id.Domain, int) {},
-		questions:   questions{waiting: map[uint64]chan uint64{}},
+		stagers: map[string]*stagerState{}, stamps: newStamps(now()),
+		refusedDateLogs: rate.NewLimiter(refusedDateLogsPerSecond, 1), newsLimit: rate.NewLimiter(newsPerSecond, newsBurst),
+		OnCrashNews:    func(*pb.CrashNews) {},
+		demandMeter:    placement.NewDemandMeter(now),
+		onSent:         func(id.Domain, int) {},
+		permitRequests: pendingPermits{pending: map[uint64]chan uint64{}},
 	}
 	s.tracker.Gateways = s.GatewayCount
 	return s
 }
 
-// Tracker returns what is known of upstreams' load.
+// Tracker returns the tracker of the upstreams' load.
 func (s *Subscriber) Tracker() *placement.Tracker {
 	return s.tracker
 }
 
-// Offers follows what callers bring to this process.
-func (s *Subscriber) Offers() *placement.DemandMeter {
-	return s.offers
+// DemandMeter returns the counters of the load that callers offer to this process.
+func (s *Subscriber) DemandMeter() *placement.DemandMeter {
+	return s.demandMeter
 }
 
-// Demand is what callers bring to all gateways for a pool, as its stagers have it. A stager that has started lately knows
-// few gateways yet, so the largest figures count; what comes to this process itself is the least of its failure domain.
+// Demand returns the load per failure domain that callers offer to all gateways for a pool, as its stagers report it. A
+// stager that has started recently knows few gateways yet, so the maximum over the stagers counts. The load offered to
+// this process is the lower bound for its own failure domain.
 func (s *Subscriber) Demand(p id.Pool) placement.Demand {
-	most := placement.Demand{}
-	most.MergeMax(s.domain, placement.OfferedLoad{OnTime: s.offers.OnTime.PerSecond(p), Late: s.offers.Late.PerSecond(p)})
+	largest := placement.Demand{}
+	largest.MergeMax(s.domain, placement.OfferedLoad{OnTime: s.demandMeter.OnTime.PerSecond(p), Late: s.demandMeter.Late.PerSecond(p)})
 	now := s.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,56 +155,57 @@
 		}
 		if h := s.stagers[i.Address]; h != nil && now.Before(h.demandUntil) {
 			for d, o := range h.demand {
-				most.MergeMax(d, o)
+				largest.MergeMax(d, o)
 			}
 		}
 	}
-	return most
+	return largest
 }
 
-// GatewayCount is the number of gateways that stagers know, this one included. The largest count is the safe one.
+// GatewayCount returns the number of gateways that stagers know, this one included. It uses the maximum over the
+// stagers, because a count that is too high makes the share of a rate limit too small, which is safe.
 func (s *Subscriber) GatewayCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	most := 0
+	largest := 0
 	for _, h := range s.stagers {
-		most = max(most, h.gateways)
+		largest = max(largest, h.gateways)
 	}
-	if most == 0 {
+	if largest == 0 {
 		return defaultGateways
 	}
-	return most
+	return largest
 }
 
-// Run subscribes and takes reports until the context ends.
+// Run renews subscriptions and receives reports until the context ends.
 func (s *Subscriber) Run(ctx context.Context) error {
 	defer context.AfterFunc(ctx, func() { s.conn.Close() })()
 	go s.subscribe(ctx)
-	receive(ctx, s.conn, s.vars, s.take)
+	receive(ctx, s.conn, s.vars, s.handleDatagram)
 	return nil
 }
 
-// receive hands each datagram to take until the context ends.
-func receive(ctx context.Context, c *net.UDPConn, vars *expvar.Map, take func(b []byte)) {
-	buffer := make([]byte, datagramBytes)
+// receive passes each datagram to handle until the context ends.
+func receive(ctx context.Context, c *net.UDPConn, vars *expvar.Map, handle func(b []byte)) {
+	buffer := make([]byte, maxDatagramBytes)
 	for ctx.Err() == nil {
 		n, _, err := c.ReadFromUDPAddrPort(buffer)
 		if err == nil {
-			take(buffer[:n])
+			handle(buffer[:n])
 			continue
 		}
 		if ctx.Err() == nil {
 			vars.Add("receive_failed", 1)
-			kernel.Pause(ctx, failedPause)
+			kernel.Pause(ctx, receiveRetryPause)
 		}
 	}
 }
 
-// failedPause keeps a socket that fails from taking the processor.
-const failedPause = 50 * time.Millisecond
+// receiveRetryPause prevents a busy loop on a socket that returns errors.
+const receiveRetryPause = 50 * time.Millisecond
 
-// take reads one report; what is not one is counted and dropped.
-func (s *Subscriber) take(b []byte) {
+// handleDatagram processes one datagram from a stager; invalid ones are counted and dropped.
+func (s *Subscriber) handleDatagram(b []byte) {
 	var r pb.UpstreamReport
 	err := proto.Unmarshal(b, &r)
 	if err == nil && r.GetNews() != nil {
@@ -211,14 +214,14 @@
 		return
 	}
 	if err == nil && r.GetPermit() != nil {
-		s.takePermit(&r)
+		s.handlePermitAnswer(&r)
 		return
 	}
 	if err != nil || r.GetAddress() == "" {
 		s.vars.Add("malformed", 1)
 		return
 	}
-	if !s.newer(&r) {
+	if !s.acceptReport(&r) {
 		s.vars.Add("late", 1)
 		return
 	}
@@ -227,54 +230,54 @@
 	for _, a := range r.GetGateways() {
 		s.facts.NoteGateway(a)
 	}
-	made := s.stamps.moment(r.GetEcho(), s.now())
-	s.date(r.GetAddress(), r.GetNamed(), made)
+	madeAfter := s.stamps.decode(r.GetEcho(), s.now())
+	s.mergePublishTime(r.GetAddress(), r.GetNamed(), madeAfter)
 	for _, w := range r.GetWords() {
-		s.hear(&r, w)
+		s.applyAnnouncement(&r, w)
 	}
 	p := placement.LoadReport{
 		Incarnation: id.Birth(r.GetBorn()),
 		Running:     int(r.GetRunning()), Waiting: int(r.GetWaiting()), Slowdown: r.GetPace(),
-		Closed: r.GetClosed(), Down: r.GetDown(), Congested: r.GetNarrow(), Leaving: r.GetLeaving(), ReceivedAt: s.now(), EchoedStamp: made,
-		StampHeldFor: time.Duration(r.GetEchoHeldMs()) * time.Millisecond, Interval: nearEvery, ConfigVersion: r.GetConfig(),
-		Limit: told(&r),
+		Closed: r.GetClosed(), Down: r.GetDown(), Congested: r.GetNarrow(), Leaving: r.GetLeaving(), ReceivedAt: s.now(), EchoedStamp: madeAfter,
+		StampHeldFor: time.Duration(r.GetEchoHeldMs()) * time.Millisecond, Interval: localReportInterval, ConfigVersion: r.GetConfig(),
+		Limit: limitFromReport(&r),
 	}
 	if every := time.Duration(r.GetEveryMs()) * time.Millisecond; every > 0 {
 		p.Interval = every
-		p.ValidUntil = p.ReceivedAt.Add(min(time.Duration(farLives*float64(every)), farMost))
+		p.ValidUntil = p.ReceivedAt.Add(min(time.Duration(remoteValidIntervals*float64(every)), maxRemoteValidity))
 	}
 	for _, h := range r.GetHeld() {
-		s.prove(r.GetAddress(), h)
+		s.observeServed(r.GetAddress(), h)
 		p.Held = append(p.Held, facts.Held{Model: id.Model(h.GetModel()), Revision: id.Revision(h.GetRevision())})
 	}
 	s.tracker.SetReport(r.GetAddress(), p)
-	s.retell(&r)
+	s.resendLimit(&r)
 }
 
 const (
-	// nearEvery is the time between two reports in the own failure domain.
-	nearEvery = 200 * time.Millisecond
-	// farLives is how many times the time to the next report one is believed where that is longer than usual: one may be lost.
-	farLives = 2.5
-	// farMost bounds it.
-	farMost = 3 * time.Second
+	// localReportInterval is the time between two reports within a failure domain.
+	localReportInterval = 200 * time.Millisecond
+	// remoteValidIntervals is how many report intervals a remote report stays valid for, so that one may be lost.
+	remoteValidIntervals = 2.5
+	// maxRemoteValidity is the longest time for which a remote report stays valid.
+	maxRemoteValidity = 3 * time.Second
 )
 
-// prove takes a version that an upstream serves as named.
-func (s *Subscriber) prove(upstream string, h *pb.HeldWeights) {
+// observeServed notes that a version has been published, because an upstream serves it.
+func (s *Subscriber) observeServed(upstream string, h *pb.HeldWeights) {
 	if s.facts.ObserveRevision(id.Model(h.GetModel()), id.Revision(h.GetRevision())) {
 		s.log.Warn().Str("model", h.GetModel()).Uint64("revision", h.GetRevision()).Str("upstream", upstream).
-			Msg("an upstream serves a newer version than any record names")
+			Msg("an upstream serves a newer version than the newest record")
 	}
 }
 
-// refusedPerSecond bounds the lines on dates that can't be right: each report of each stager may bring one.
-const refusedPerSecond = 0.2
+// refusedDateLogsPerSecond limits the log lines about refused publish times; each report of each stager may cause one.
+const refusedDateLogsPerSecond = 0.2
 
-// date takes what a report tells of the naming of weights. The ages in it are those of the moment at which it was made:
-// what was known by then is dated by its coming, and what had not happened by the moment after which it was made, if
-// that is known.
-func (s *Subscriber) date(upstream string, n *pb.NamedWeights, made time.Time) {
+// mergePublishTime merges a report's publish time of a version into the local one. The ages in the report count from
+// when it was made. The report's arrival bounds the time by which the version was known, and madeAfter, if it is known,
+// the time at which it had not been published yet.
+func (s *Subscriber) mergePublishTime(upstream string, n *pb.NamedWeights, madeAfter time.Time) {
 	if n == nil {
 		return
 	}
@@ -282,68 +285,70 @@
 	if n.GetHadMs() >= 0 {
 		d.KnownAt = s.now().Add(-time.Duration(n.GetHadMs()) * time.Millisecond)
 	}
-	if n.GetAgeMs() >= 0 && !made.IsZero() {
-		d.After = made.Add(-time.Duration(n.GetAgeMs()) * time.Millisecond)
+	if n.GetAgeMs() >= 0 && !madeAfter.IsZero() {
+		d.After = madeAfter.Add(-time.Duration(n.GetAgeMs()) * time.Millisecond)
 	}
 	o := s.facts.MergePublishTime(id.Model(n.GetModel()), id.Revision(n.GetRevision()), d)
 	if o == dating.Refused {
 		s.vars.Add("dates_refused", 1)
 	}
-	if o == dating.Kept || (o == dating.Refused && !s.refusedLines.AllowN(s.now(), 1)) {
+	if o == dating.Kept || (o == dating.Refused && !s.refusedDateLogs.AllowN(s.now(), 1)) {
 		return
 	}
 	s.log.Info().Str("model", n.GetModel()).Uint64("revision", n.GetRevision()).Stringer("date", o).Time("named_after", d.After).
 		Time("had", d.KnownAt).Str("upstream", upstream).Str("by", d.Source.Observer).Stringer("evidence", d.Source.Evidence).
-		Msg("a report dates the naming of weights")
+		Msg("publish time of a version updated from a report")
 }
 
-// hear takes a word on an instance at the upstream's address. The own list may lack it, late or for good.
-func (s *Subscriber) hear(r *pb.UpstreamReport, w *pb.ListWord) {
+// applyAnnouncement applies a stager's announcement about an instance at its upstream's address. The local copy of the
+// upstream list may lack the change, temporarily or permanently.
+func (s *Subscriber) applyAnnouncement(r *pb.UpstreamReport, w *pb.ListWord) {
 	n := id.Instance(w.GetInstance())
-	word := facts.Announcement{
+	a := facts.Announcement{
 		Instance: n, Born: id.Birth(w.GetBorn()), Address: r.GetAddress(), Left: w.GetLeft(), Position: id.Position(w.GetOffset()),
 	}
-	if !s.facts.ApplyAnnouncement(word) {
+	if !s.facts.ApplyAnnouncement(a) {
 		return
 	}
 	text := "upstream has left by a report"
-	if !word.Left {
+	if !a.Left {
 		text = "upstream is back by a report"
 	}
 	s.vars.Add("words_before_list", 1)
-	e := s.log.Info().Str("instance", string(n)).Str("upstream", word.Address).Uint64("offset", word.Position.Offset()).
+	e := s.log.Info().Str("instance", string(n)).Str("upstream", a.Address).Uint64("offset", a.Position.Offset()).
 		Uint64("list_offset", s.facts.ListPosition().Offset()).Uint64("stager", r.GetIncarnation()).Uint64("report", r.GetNumber())
 	if i := s.facts.Instance(n); i != nil {
 		e = e.Uint64("entry_offset", i.ListPosition.Offset())
 	}
-	e.Uint64("era", word.Position.Era()).Msg(text)
+	e.Uint64("era", a.Position.Era()).Msg(text)
 }
 
-// newer notes a report's place and says whether it follows all that came before.
-func (s *Subscriber) newer(r *pb.UpstreamReport) bool {
+// acceptReport updates the state of a report's stager. It returns false for a report that is older than, or the same as,
+// one already accepted.
+func (s *Subscriber) acceptReport(r *pb.UpstreamReport) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.stagers[r.GetAddress()]
 	if h == nil {
-		h = &heard{}
+		h = &stagerState{}
 		s.stagers[r.GetAddress()] = h
 	}
 	now := s.now()
-	if !h.next(r.GetIncarnation(), r.GetNumber(), now) {
+	if !h.accept(r.GetIncarnation(), r.GetNumber(), now) {
 		return false
 	}
 	h.gateways = int(r.GetSubscribers())
 	if len(r.GetDemand()) > 0 {
-		h.demand, h.demandUntil = demand(r.GetDemand()), now.Add(demandLife)
+		h.demand, h.demandUntil = demandFromProto(r.GetDemand()), now.Add(demandTTL)
 	}
 	return true
 }
 
-// demand reads what a stager tells.
-func demand(l []*pb.Demand) placement.Demand {
-	of := placement.Demand{}
+// demandFromProto decodes the demand in a report.
+func demandFromProto(l []*pb.Demand) placement.Demand {
+	merged := placement.Demand{}
 	for _, d := range l {
-		of.MergeMax(id.Domain(d.GetDomain()), placement.OfferedLoad{OnTime: d.GetOffered(), Late: d.GetOfferedLate()})
+		merged.MergeMax(id.Domain(d.GetDomain()), placement.OfferedLoad{OnTime: d.GetOffered(), Late: d.GetOfferedLate()})
 	}
-	return of
+	return merged
 }
