--- a/internal/facts/absence.go
+++ b/internal/facts/absence.go
@@ -8,84 +8,85 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// lapseGrace is how long an upstream whose entry lapsed while the list was away is kept: if it lives, its entry is back
-// within about two seconds (the users' letter).
+// lapseGrace is how long an upstream is kept whose entry expired while the upstream list was unavailable. A live
+// upstream renews its entry within about two seconds.
 const lapseGrace = 2 * time.Second
 
-// AbsenceTracker decides when an upstream without an entry in the list is taken as gone: at once, or after a grace where the
-// list was away. It is used by one goroutine.
+// AbsenceTracker decides when to remove an upstream that has no entry in the upstream list: at once, or after a grace
+// period if the list was unavailable. It is not safe for concurrent use.
 type AbsenceTracker struct {
 	facts *Facts
 	now   func() time.Time
 	log   *log.Logger
-	// until is the end of the grace after the list's return.
-	until time.Time
-	due   map[id.Instance]absence
+	// graceUntil is the end of the grace period that follows an outage of the list.
+	graceUntil time.Time
+	pending    map[id.Instance]absence
 }
 
-// absence is an upstream that the list lacks: until when it may come back, and how far the list had been read that lacked
-// it. What is read during the grace may be newer than an entry that brings the upstream back.
+// absence is an upstream that is missing from the list: until when it is kept, and the offset up to which the list had
+// been read when it was found missing. What is read during the grace period may be newer than an entry that restores the
+// upstream.
 type absence struct {
-	until  time.Time
-	offset id.Position
+	graceUntil time.Time
+	listOffset id.Position
 }
 
-// NewAbsenceTracker makes an empty set of absences.
+// NewAbsenceTracker creates a tracker without absences.
 func NewAbsenceTracker(f *Facts, now func() time.Time, l *log.Logger) *AbsenceTracker {
-	return &AbsenceTracker{facts: f, now: now, log: l, due: map[id.Instance]absence{}}
+	return &AbsenceTracker{facts: f, now: now, log: l, pending: map[id.Instance]absence{}}
 }
 
-// NoteListReturned notes that the list is to be had again after it was away.
+// NoteListReturned starts the grace period: the list is available again after an outage.
 func (a *AbsenceTracker) NoteListReturned() {
-	a.until = a.now().Add(lapseGrace)
+	a.graceUntil = a.now().Add(lapseGrace)
 }
 
-// ExtendGrace takes over another process's grace, which may have seen the list go and return.
+// ExtendGrace extends the grace period to that of another process, which may have seen an outage that this one missed.
 func (a *AbsenceTracker) ExtendGrace(t time.Time) {
-	if t.After(a.until) {
-		a.until = t
+	if t.After(a.graceUntil) {
+		a.graceUntil = t
 	}
 }
 
-// RemainingGrace is what is left of the grace.
+// RemainingGrace returns the remaining time of the grace period.
 func (a *AbsenceTracker) RemainingGrace() time.Duration {
-	return max(0, a.until.Sub(a.now()))
+	return max(0, a.graceUntil.Sub(a.now()))
 }
 
-// NoteEntry takes a change of the list: an upstream's entry was written, or is gone.
+// NoteEntry handles a change of the list: an upstream's entry was written or removed.
 func (a *AbsenceTracker) NoteEntry(n id.Instance, listed bool) {
 	if listed {
-		delete(a.due, n)
+		delete(a.pending, n)
 		return
 	}
 	if a.facts.Instance(n) != nil {
-		a.due[n] = absence{until: a.until, offset: a.facts.ListPosition()}
+		a.pending[n] = absence{graceUntil: a.graceUntil, listOffset: a.facts.ListPosition()}
 	}
 }
 
-// SetListed takes a whole list: upstreams that are not in it have no entry.
+// SetListed handles a snapshot of the list: upstreams that are not in it have no entry.
 func (a *AbsenceTracker) SetListed(l []id.Instance) {
 	listed := map[id.Instance]bool{}
 	for _, n := range l {
 		listed[n] = true
 	}
-	for _, n := range a.facts.known() {
+	for _, n := range a.facts.instanceIDs() {
 		if !listed[n] {
-			a.due[n] = absence{until: a.until, offset: a.facts.ListPosition()}
+			a.pending[n] = absence{graceUntil: a.graceUntil, listOffset: a.facts.ListPosition()}
 		}
 	}
 	a.Sweep()
 }
 
-// Sweep drops the upstreams whose grace is over.
+// Sweep removes the upstreams whose grace period is over.
 func (a *AbsenceTracker) Sweep() {
 	now := a.now()
-	for n, due := range a.due {
-		if now.Before(due.until) {
+	for n, absent := range a.pending {
+		if now.Before(absent.graceUntil) {
 			continue
 		}
-		a.log.Info().Str("instance", string(n)).Msg("upstream gone from the list")
-		a.facts.DropInstance(n, due.offset)
-		delete(a.due, n)
+		a.log.Info().Str("instance", string(n)).Msg("upstream removed: it has no entry in the list")
+		a.facts.DropInstance(n, absent.listOffset)
+		delete(a.pending, n)
 	}
 }
--- a/internal/facts/word_test.go
+++ b/internal/facts/announcement_test.go
@@ -12,15 +12,15 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-var _ = Describe("words of a stager", func() {
+var _ = Describe("announcements of a stager", func() {
 	var now time.Time
 	var f *Facts
 	BeforeEach(func() {
 		now = time.Unix(1000, 0)
 		f = New(func() time.Time { return now })
 	})
-	ready := func(n id.Instance, seen id.Position) *Instance {
-		return &Instance{ID: n, Address: "a", ListPosition: seen}
+	ready := func(n id.Instance, position id.Position) *Instance {
+		return &Instance{ID: n, Address: "a", ListPosition: position}
 	}
 	leaving := func() bool { return f.Instances()[0].Leaving }
 	left := func(offset id.Position) Announcement {
@@ -30,30 +30,30 @@
 		return Announcement{Instance: "i", Address: "a", Position: offset}
 	}
 
-	It("make an upstream leave that the own list has as ready, until the list has it as ready from later on", func() {
+	It("make an upstream leave that the local list has as ready, until a later entry of the list is ready", func() {
 		f.SetInstance(ready("i", 3))
 		Expect(f.ApplyAnnouncement(left(9))).To(BeTrue())
 		Expect(leaving()).To(BeTrue())
-		Expect(f.Instance("i").Leaving).To(BeFalse(), "what the own list says stays apart")
-		Expect(f.ApplyAnnouncement(left(9))).To(BeFalse(), "the same word is no news")
+		Expect(f.Instance("i").Leaving).To(BeFalse(), "the local entry is unchanged")
+		Expect(f.ApplyAnnouncement(left(9))).To(BeFalse(), "the same announcement changes nothing")
 		f.SetInstance(ready("i", 7))
-		Expect(leaving()).To(BeTrue(), "a list that catches up with what was written before does not bring it back")
+		Expect(leaving()).To(BeTrue(), "an entry written before the announcement does not bring it back")
 		f.SetInstance(ready("i", 10))
 		Expect(leaving()).To(BeFalse())
 		Expect(f.ApplyAnnouncement(left(9))).To(BeFalse())
 		Expect(leaving()).To(BeFalse())
 	})
 
-	It("count where the list comes later than they do, and of its first entry", func() {
+	It("apply to an entry that arrives after them, and to the first entry of the list", func() {
 		Expect(f.ApplyAnnouncement(left(0))).To(BeFalse())
 		f.SetInstance(ready("i", 0))
 		Expect(leaving()).To(BeTrue())
 	})
 
-	It("bring an upstream back whose new entry the own list can't tell from the old one", func() {
+	It("bring an upstream back whose new entry has not reached the local list", func() {
 		f.SetInstance(ready("i", 3))
 		f.ApplyAnnouncement(left(9))
-		Expect(f.ApplyAnnouncement(back(9))).To(BeFalse(), "an entry that the word has taken account of")
+		Expect(f.ApplyAnnouncement(back(9))).To(BeFalse(), "an entry that the announcement has taken into account")
 		Expect(f.ApplyAnnouncement(back(10))).To(BeTrue())
 		Expect(leaving()).To(BeFalse())
 		f.ApplyAnnouncement(left(9))
@@ -62,13 +62,13 @@
 		Expect(leaving()).To(BeTrue())
 	})
 
-	It("come to the same in any order, however often they come: the one on the newest state of the list is right", func() {
+	It("reach the same state in any order, duplicated or not: the one with the highest position wins", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			f := New(time.Now)
 			f.SetInstance(ready("i", 1))
 			offsets := rapid.SliceOfNDistinct(rapid.Uint64Range(2, 1000), 1, 8, rapid.ID).Draw(t, "offsets")
 			newest := Announcement{}
-			var all []Announcement
+			var announcements []Announcement
 			anyLeft := false
 			for i, o := range offsets {
 				w := Announcement{Instance: "i", Address: "a", Position: id.Position(o), Left: rapid.Bool().Draw(t, fmt.Sprint("left ", i))}
@@ -76,9 +76,9 @@
 				if id.Position(o) > newest.Position {
 					newest = w
 				}
-				all = append(all, w, w)
+				announcements = append(announcements, w, w)
 			}
-			for _, w := range rapid.Permutation(all).Draw(t, "order") {
+			for _, w := range rapid.Permutation(announcements).Draw(t, "order") {
 				f.ApplyAnnouncement(w)
 			}
 			if got := f.Instances()[0].Leaving; got != (newest.Left && anyLeft) {
@@ -87,7 +87,7 @@
 		})
 	})
 
-	It("do not touch the next instance at the address, nor one at another address", func() {
+	It("do not affect the next instance at the address, nor one at another address", func() {
 		f.SetInstance(ready("i", 3))
 		f.ApplyAnnouncement(left(9))
 		f.SetInstance(ready("next", 4))
@@ -97,33 +97,33 @@
 		Expect(leaving()).To(BeFalse())
 	})
 
-	It("are kept as long as the own list has the instance, and for a bounded time and number without", func() {
+	It("are kept while the local list has the instance, and otherwise for a bounded time and in bounded number", func() {
 		f.SetInstance(ready("i", 3))
 		f.ApplyAnnouncement(left(9))
-		for n := range 2 * mostHeard {
+		for n := range 2 * maxAnnounced {
 			f.ApplyAnnouncement(Announcement{Instance: id.Instance(fmt.Sprint(n)), Address: "b", Left: true})
 		}
-		Expect(len(f.words)).To(BeNumerically("<=", mostHeard))
-		now = now.Add(wordLife + time.Second)
+		Expect(len(f.announcements)).To(BeNumerically("<=", maxAnnounced))
+		now = now.Add(announcementTTL + time.Second)
 		f.SweepAnnouncements()
-		Expect(f.words).To(HaveLen(1))
+		Expect(f.announcements).To(HaveLen(1))
 		Expect(leaving()).To(BeTrue())
 		f.DropInstance("i", 12)
 		f.SweepAnnouncements()
-		Expect(f.words).To(BeEmpty())
+		Expect(f.announcements).To(BeEmpty())
 	})
 })
 
-var _ = Describe("the words on a watched address", func() {
+var _ = Describe("the announcements about a watched address", func() {
 	var now time.Time
 	var f *Facts
 	var a *AbsenceTracker
-	told := func() []Announcement {
+	announced := func() []Announcement {
 		l, _ := f.Announcements(time.Time{})
 		return l
 	}
-	entry := func(n id.Instance, seen id.Position, leaving bool) {
-		f.SetInstance(&Instance{ID: n, Address: "a", ListPosition: seen, Leaving: leaving})
+	entry := func(n id.Instance, position id.Position, leaving bool) {
+		f.SetInstance(&Instance{ID: n, Address: "a", ListPosition: position, Leaving: leaving})
 	}
 	BeforeEach(func() {
 		now = time.Unix(1000, 0)
@@ -132,44 +132,44 @@
 		a = NewAbsenceTracker(f, func() time.Time { return now }, &log.Logger{Level: log.PanicLevel})
 	})
 
-	It("are none while nothing leaves, and wake who tells them", func() {
+	It("are empty while nothing leaves, and notify waiters", func() {
 		_, changed := f.Announcements(time.Time{})
 		entry("i", 3, false)
 		f.SetInstance(&Instance{ID: "far", Address: "b", ListPosition: 4, Leaving: true})
 		f.DropInstance("far", 5)
-		Expect(told()).To(BeEmpty())
+		Expect(announced()).To(BeEmpty())
 		Expect(changed).NotTo(BeClosed())
 		entry("i", 6, true)
 		Expect(changed).To(BeClosed())
-		Expect(told()).To(Equal([]Announcement{{Instance: "i", Address: "a", Left: true, Position: 6}}))
+		Expect(announced()).To(Equal([]Announcement{{Instance: "i", Address: "a", Left: true, Position: 6}}))
 	})
 
-	It("name an instance that is gone after it was listed, at what the list had been read to", func() {
+	It("contain an instance that was removed from the list, with the position up to which the list was read", func() {
 		entry("i", 3, false)
 		f.NoteListPosition(8)
 		a.NoteEntry("i", false)
 		a.Sweep()
 		entry("next", 9, false)
-		Expect(told()).To(Equal([]Announcement{{Instance: "i", Address: "a", Left: true, Position: 8}}))
+		Expect(announced()).To(Equal([]Announcement{{Instance: "i", Address: "a", Left: true, Position: 8}}))
 	})
 
-	It("name none whose entry lapsed while the list was away before the grace is over, and none that is back by then", func() {
+	It("contain no instance whose entry expired while the list was unavailable before the grace period is over, and none that returns in it", func() {
 		entry("i", 3, false)
 		a.NoteListReturned()
 		f.NoteListPosition(8)
 		a.NoteEntry("i", false)
 		a.Sweep()
-		Expect(told()).To(BeEmpty())
+		Expect(announced()).To(BeEmpty())
 		entry("i", 9, false)
 		a.NoteEntry("i", true)
 		now = now.Add(2 * lapseGrace)
 		a.Sweep()
-		Expect(told()).To(BeEmpty())
+		Expect(announced()).To(BeEmpty())
 	})
 
-	// An entry came back after the grace, which other stagers' entries had followed in the list. Whoever had believed that the
-	// upstream was gone has to take it back.
-	It("take an instance back whose entry is there again, at a place after what they said before", func() {
+	// An entry returns after the grace period, when entries of other stagers have followed it in the list. Processes
+	// that took the upstream for gone must accept it again.
+	It("announce the return of an instance whose entry is back, with a position after that of its departure", func() {
 		entry("i", 3, false)
 		a.NoteListReturned()
 		f.NoteListPosition(8)
@@ -177,44 +177,44 @@
 		now = now.Add(lapseGrace)
 		f.NoteListPosition(20)
 		a.Sweep()
-		Expect(told()).To(Equal([]Announcement{{Instance: "i", Address: "a", Left: true, Position: 8}}))
+		Expect(announced()).To(Equal([]Announcement{{Instance: "i", Address: "a", Left: true, Position: 8}}))
 		entry("i", 12, false)
-		Expect(told()).To(Equal([]Announcement{{Instance: "i", Address: "a", Position: 12}}))
+		Expect(announced()).To(Equal([]Announcement{{Instance: "i", Address: "a", Position: 12}}))
 		other := New(time.Now)
 		other.SetInstance(&Instance{ID: "i", Address: "a", ListPosition: 3})
 		other.ApplyAnnouncement(Announcement{Instance: "i", Address: "a", Left: true, Position: 8})
-		Expect(other.ApplyAnnouncement(told()[0])).To(BeTrue())
+		Expect(other.ApplyAnnouncement(announced()[0])).To(BeTrue())
 		Expect(other.Instances()[0].Leaving).To(BeFalse())
 	})
 
-	It("do not take one back whose old entry comes again from a source that lags behind", func() {
+	It("do not announce the return of an instance whose old entry arrives from a source that lags", func() {
 		entry("i", 3, false)
 		f.DropInstance("i", 8)
 		entry("i", 5, false)
-		Expect(told()[0].Left).To(BeTrue())
+		Expect(announced()[0].Left).To(BeTrue())
 	})
 
-	It("are of a bounded number of instances, the newest ones, and those new since a moment", func() {
-		for n := range 3 * uint64(mostTold) {
+	It("cover a bounded number of the newest instances, or those that changed since a given time", func() {
+		for n := range 3 * uint64(maxWatched) {
 			now = now.Add(time.Second)
 			entry(id.Instance(fmt.Sprint(n)), id.Position(n), true)
 		}
-		Expect(told()).To(HaveLen(mostTold))
+		Expect(announced()).To(HaveLen(maxWatched))
 		l, _ := f.Announcements(now)
 		Expect(l).To(Equal([]Announcement{{Instance: "11", Address: "a", Left: true, Position: 11}}))
 	})
 
-	It("are none where no address is watched, also of an entry without an address", func() {
+	It("are empty if no address is watched, also for an entry without an address", func() {
 		f = New(func() time.Time { return now })
 		f.WatchAddress("")
 		f.SetInstance(&Instance{ID: "i", Leaving: true})
 		f.DropInstance("i", 1)
-		Expect(told()).To(BeEmpty())
+		Expect(announced()).To(BeEmpty())
 	})
 
-	It("are there of what had left before the address was watched", func() {
+	It("include instances that left before the address was watched", func() {
 		f.SetInstance(&Instance{ID: "far", Address: "b", ListPosition: 4, Leaving: true})
 		f.WatchAddress("b")
-		Expect(told()).To(HaveLen(1))
+		Expect(announced()).To(HaveLen(1))
 	})
 })
--- a/internal/facts/ended.go
+++ b/internal/facts/ended.go
@@ -6,30 +6,30 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// ended is the newest start of an instance that is gone from the list.
-type ended struct {
+// endedIncarnation is the newest incarnation of an instance that is no longer listed.
+type endedIncarnation struct {
 	born id.Birth
-	// until is when it is forgotten.
-	until time.Time
+	// forgetAt is when it is forgotten.
+	forgetAt time.Time
 }
 
-// end remembers the start of an instance that is gone, for as long as a word: its list, or a source of it, may lag behind by
-// seconds and bring an earlier one. The caller holds the lock.
-func (f *Facts) end(i *Instance) {
+// rememberEnded stores the incarnation of an instance that is no longer listed, for as long as an announcement: the list
+// or a replica of it may lag by seconds and bring an earlier incarnation. The caller holds the lock.
+func (f *Facts) rememberEnded(i *Instance) {
 	now := f.now()
 	for n, e := range f.ended {
-		if now.After(e.until) {
+		if now.After(e.forgetAt) {
 			delete(f.ended, n)
 		}
 	}
-	if i.Born > 0 && len(f.ended) < mostHeard {
-		f.ended[i.ID] = ended{born: i.Born, until: now.Add(wordLife)}
+	if i.Born > 0 && len(f.ended) < maxAnnounced {
+		f.ended[i.ID] = endedIncarnation{born: i.Born, forgetAt: now.Add(announcementTTL)}
 	}
 }
 
-// outlived says whether an entry is of a start that a later one of the same ID is known to have followed. The caller holds the
-// lock.
-func (f *Facts) outlived(i, old *Instance) bool {
+// isOutdated reports whether an entry belongs to an incarnation that is older than the newest one known of its instance.
+// The caller holds the lock.
+func (f *Facts) isOutdated(i, old *Instance) bool {
 	if old != nil && i.Born.Before(old.Born) {
 		return true
 	}
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -1,5 +1,5 @@
-// Package facts holds what a process believes of the configuration and the upstreams around it. Sources put facts in;
-// decisions read them. A fact is replaced as a whole and never goes back to an older revision.
+// Package facts holds what a process knows of the configuration, the published model versions and the upstreams. Sources
+// update the facts; decisions read them. A fact is replaced as a whole and never returns to an older revision.
 package facts
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// Held is a version of a model that an upstream serves whole.
+// Held is a version of a model that an upstream holds completely and serves.
 type Held struct {
 	Model    id.Model
 	Revision id.Revision
 }
 
-// Instance is one start of an upstream as the list of upstreams has it.
+// Instance is one incarnation of an upstream, as in the upstream list.
 type Instance struct {
 	ID id.Instance
-	// Born tells the starts of one ID apart; nothing that is known of one holds for the next.
+	// Born identifies the incarnation of an ID; facts about one incarnation don't apply to the next.
 	Born    id.Birth
 	Pool    id.Pool
 	Address string
@@ -30,11 +30,12 @@
 	Slots   int
 	Leaving bool
 	Held    []Held
-	// ListPosition orders what the list says: of two entries, the one with the higher number was written later.
+	// ListPosition is the position of the entry in the upstream list; of two entries, the one with the higher position
+	// was written later.
 	ListPosition id.Position
 }
 
-// HeldRevision finds a model in a list; 0 is none.
+// HeldRevision returns the revision of a model in a list, or 0 if the list doesn't contain the model.
 func HeldRevision(l []Held, m id.Model) id.Revision {
 	for _, h := range l {
 		if h.Model == m {
@@ -44,41 +45,43 @@
 	return 0
 }
 
-// Facts is safe for concurrent use.
+// Facts holds the facts of one process; it is safe for concurrent use.
 type Facts struct {
 	catalog atomic.Pointer[catalog.Catalog]
 	now     func() time.Time
 
 	mu sync.Mutex
-	// wanted lists the versions named for a model, oldest first.
+	// wanted lists the published versions of each model, oldest first.
 	wanted    map[id.Model][]Wanted
 	instances map[id.Instance]*Instance
-	// ended is the newest start of instances that are gone.
-	ended map[id.Instance]ended
-	// list is what readers share, and nil once the entries have changed since it was made.
-	list   atomic.Pointer[[]*Instance]
-	change chan struct{}
-	// heard is the newest offset of the operators' records that this process or another one has read.
-	heard   id.Position
-	hearing chan struct{}
-	// gateways are those heard of lately in the own failure domain, by address, with the time until which they count.
+	// ended is the newest incarnation of each instance that is no longer listed.
+	ended map[id.Instance]endedIncarnation
+	// cachedList is the list that readers share, or nil if the entries have changed since it was built.
+	cachedList atomic.Pointer[[]*Instance]
+	changed    chan struct{}
+	// configOffset is the newest offset of the operators' records that any process is known to have read.
+	configOffset        id.Position
+	configOffsetChanged chan struct{}
+	// gateways are the gateways of this failure domain that were seen recently, by address, with the time until which
+	// they count.
 	gateways map[string]time.Time
-	// readTo is the highest offset of the list of upstreams that is known to have been read.
-	readTo id.Position
-	// watch is for the words that this process tells others of its own upstream, and words are those of other stagers.
-	watch watch
-	words map[id.Instance]*standing
-	// leavers have said themselves that they leave.
-	leavers map[id.Instance]leaver
+	// listPosition is the highest position of the upstream list that is known to have been read.
+	listPosition id.Position
+	// watch collects the announcements that this process sends about its own upstream's address; announcements are those
+	// received from other stagers.
+	watch         addressWatch
+	announcements map[id.Instance]*announcementState
+	// leaving are the incarnations that have declared themselves that they leave.
+	leaving map[id.Instance]leavingIncarnation
 }
 
-// New makes an empty set of facts.
+// New creates empty facts.
 func New(now func() time.Time) *Facts {
 	f := &Facts{
-		now: now, wanted: map[id.Model][]Wanted{}, instances: map[id.Instance]*Instance{}, ended: map[id.Instance]ended{},
-		change: make(chan struct{}), hearing: make(chan struct{}), gateways: map[string]time.Time{},
-		watch: watch{changed: make(chan struct{})}, words: map[id.Instance]*standing{},
-		leavers: map[id.Instance]leaver{},
+		now: now, wanted: map[id.Model][]Wanted{}, instances: map[id.Instance]*Instance{}, ended: map[id.Instance]endedIncarnation{},
+		changed: make(chan struct{}), configOffsetChanged: make(chan struct{}), gateways: map[string]time.Time{},
+		watch: addressWatch{changed: make(chan struct{})}, announcements: map[id.Instance]*announcementState{},
+		leaving: map[id.Instance]leavingIncarnation{},
 	}
 	return f
 }
@@ -88,7 +91,7 @@
 	return f.catalog.Load()
 }
 
-// SetCatalog takes a configuration unless it is older than the one in force; it says whether it was taken.
+// SetCatalog sets the configuration unless it is older than the one in force, and returns whether it did.
 func (f *Facts) SetCatalog(c *catalog.Catalog) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -96,34 +99,35 @@
 		return false
 	}
 	f.catalog.Store(c)
-	f.list.Store(nil)
+	f.cachedList.Store(nil)
 	f.notify()
 	return true
 }
 
-// SetInstance takes an upstream's entry in the list, and says whether it did: one of an earlier start of that ID comes late.
+// SetInstance stores an upstream's entry in the upstream list. It returns false for an outdated entry, of an earlier
+// incarnation of the instance.
 func (f *Facts) SetInstance(i *Instance) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	old := f.instances[i.ID]
-	if f.outlived(i, old) {
+	if f.isOutdated(i, old) {
 		return false
 	}
 	f.instances[i.ID] = i
-	f.readTo = max(f.readTo, i.ListPosition)
+	f.listPosition = max(f.listPosition, i.ListPosition)
 	if old != nil && old.Leaving && !i.Leaving && !old.Born.Before(i.Born) && old.ListPosition.Era() < i.ListPosition.Era() {
-		// The store came back from a copy of before it said so.
-		f.addLeaver(i.ID, i.Born)
+		// The store was restored from an older copy, which lacks that the instance leaves.
+		f.addLeaving(i.ID, i.Born)
 	}
 	f.watchEntry(i)
-	f.list.Store(nil)
+	f.cachedList.Store(nil)
 	if old == nil || old.Leaving != i.Leaving || old.Born != i.Born {
 		f.notify()
 	}
 	return true
 }
 
-// DropInstance removes an upstream that has left the list, as the list had it at an offset.
+// DropInstance removes an upstream that was missing from the upstream list when it had been read up to an offset.
 func (f *Facts) DropInstance(n id.Instance, offset id.Position) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -131,37 +135,38 @@
 	if i == nil {
 		return
 	}
-	if f.watch.at(i.Address) {
-		f.watched(Announcement{Instance: n, Born: i.Born, Left: true, Position: max(offset, i.ListPosition)})
+	if f.watch.covers(i.Address) {
+		f.recordWatched(Announcement{Instance: n, Born: i.Born, Left: true, Position: max(offset, i.ListPosition)})
 	}
 	delete(f.instances, n)
-	f.end(i)
-	f.list.Store(nil)
+	f.rememberEnded(i)
+	f.cachedList.Store(nil)
 	f.notify()
 }
 
-// Instances returns the list of upstreams, with those as leaving that have left by a stager's word; do not change it. It is
-// made when it is first read after a change: to make it anew for each entry grows with the square of the list (BenchmarkList).
+// Instances returns the listed upstreams, with those marked as leaving whose departure a stager has announced. The
+// caller must not modify the slice. It is rebuilt on the first read after a change, because rebuilding it for each entry
+// takes time quadratic in the list's length.
 func (f *Facts) Instances() []*Instance {
-	if l := f.list.Load(); l != nil {
+	if l := f.cachedList.Load(); l != nil {
 		return *l
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l := f.shared()
-	f.list.Store(&l)
+	l := f.buildList()
+	f.cachedList.Store(&l)
 	return l
 }
 
-// Instance returns one upstream as the own list has it, or nil.
+// Instance returns an upstream's entry in the local copy of the list, or nil.
 func (f *Facts) Instance(n id.Instance) *Instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.instances[n]
 }
 
-// known lists all entries, those included whose address another one holds.
-func (f *Facts) known() []id.Instance {
+// instanceIDs lists all entries, also those whose address a newer entry uses.
+func (f *Facts) instanceIDs() []id.Instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	l := make([]id.Instance, 0, len(f.instances))
@@ -171,12 +176,12 @@
 	return l
 }
 
-// shared makes the list that readers share. Where several entries name one address, the one written last holds it: the
-// others are of upstreams that have ended there. The caller holds the lock.
-func (f *Facts) shared() []*Instance {
+// buildList builds the list that readers share. If several entries have the same address, the newest one holds it; the
+// others belong to upstreams that have ended there. The caller holds the lock.
+func (f *Facts) buildList() []*Instance {
 	holder := make(map[string]*Instance, len(f.instances))
 	for _, i := range f.instances {
-		if !f.served(i) {
+		if !f.poolConfigured(i) {
 			continue
 		}
 		if h := holder[i.Address]; h == nil || h.ListPosition < i.ListPosition {
@@ -187,56 +192,59 @@
 	for _, i := range holder {
 		l = append(l, f.effective(i))
 	}
-	// The order of a map is random beyond any seed, and a play in virtual time must repeat; a gateway's choice draws its own luck.
+	// The iteration order of a map is random whatever the seed, and simulations in virtual time must be reproducible. A
+	// gateway makes its own random choice among the upstreams.
 	slices.SortFunc(l, func(a, b *Instance) int { return strings.Compare(a.Address, b.Address) })
 	return l
 }
 
-// served says whether an entry is of a pool that the configuration names. Any other one names no upstream to use, and does
-// not take the address of one either. The caller holds the lock.
-func (f *Facts) served(i *Instance) bool {
+// poolConfigured reports whether the configuration has the pool of an entry. An entry of any other pool is ignored, also
+// when it has the address of another one. The caller holds the lock.
+func (f *Facts) poolConfigured(i *Instance) bool {
 	c := f.catalog.Load()
 	return c == nil || len(c.Services) == 0 || c.Services[i.Pool] != nil
 }
 
-// Changed returns a channel that closes with the next change of the configuration, the wanted weights or who is listed.
+// Changed returns a channel that closes at the next change of the configuration, the published versions or the set of
+// listed upstreams.
 func (f *Facts) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.change
+	return f.changed
 }
 
-// NoteConfigOffset notes that some process has read the operators' records up to an offset. A reader that waits for them at the
-// store may be passed over there, and learns of them here.
+// NoteConfigOffset notes that some process has read the operators' records up to an offset. A process whose long poll at
+// the store fails to return new records learns of them this way.
 func (f *Facts) NoteConfigOffset(offset id.Position) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if offset <= f.heard {
+	if offset <= f.configOffset {
 		return
 	}
-	f.heard = offset
-	close(f.hearing)
-	f.hearing = make(chan struct{})
+	f.configOffset = offset
+	close(f.configOffsetChanged)
+	f.configOffsetChanged = make(chan struct{})
 }
 
-// ConfigOffset returns the newest offset heard of, and a channel that closes when there is a newer one.
+// ConfigOffset returns the newest offset of the operators' records that any process is known to have read, and a channel
+// that closes when a newer one becomes known.
 func (f *Facts) ConfigOffset() (id.Position, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.heard, f.hearing
+	return f.configOffset, f.configOffsetChanged
 }
 
-// gatewayLife is how long a gateway counts after it was last heard of: it is named about once a second.
-const gatewayLife = 5 * time.Second
+// gatewayTTL is how long a gateway counts after it was last seen; reports list it about once a second.
+const gatewayTTL = 5 * time.Second
 
-// NoteGateway notes that a gateway of the own failure domain lives.
+// NoteGateway notes that a gateway of this failure domain is alive.
 func (f *Facts) NoteGateway(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.gateways[address] = f.now().Add(gatewayLife)
+	f.gateways[address] = f.now().Add(gatewayTTL)
 }
 
-// Gateways lists the gateways of the own failure domain that were heard of lately.
+// Gateways lists the gateways of this failure domain that were seen recently.
 func (f *Facts) Gateways() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -253,6 +261,6 @@
 }
 
 func (f *Facts) notify() {
-	close(f.change)
-	f.change = make(chan struct{})
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
--- a/internal/facts/life_test.go
+++ b/internal/facts/incarnation_test.go
@@ -11,73 +11,73 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// An upstream may start again under the ID that it had. What was said of its earlier start comes late by many ways: a list that
-// lags behind, a source that does, a datagram that is doubled.
-var _ = Describe("the starts of one instance", func() {
+// An upstream may restart under its previous ID. Facts about the earlier incarnation can arrive late in several ways:
+// from a list or a replica of it that lags, or in a duplicated datagram.
+var _ = Describe("the incarnations of one instance", func() {
 	var now time.Time
 	var f *Facts
 	BeforeEach(func() {
 		now = time.Unix(1000, 0)
 		f = New(func() time.Time { return now })
 	})
-	entry := func(born id.Birth, seen id.Position, leaving bool) *Instance {
-		return &Instance{ID: "i", Born: born, Address: "a", ListPosition: seen, Leaving: leaving}
+	entry := func(born id.Birth, position id.Position, leaving bool) *Instance {
+		return &Instance{ID: "i", Born: born, Address: "a", ListPosition: position, Leaving: leaving}
 	}
 	left := func(born id.Birth, offset id.Position) Announcement {
 		return Announcement{Instance: "i", Born: born, Address: "a", Left: true, Position: offset}
 	}
 	leaving := func() bool { return f.Instances()[0].Leaving }
 
-	It("never go back to an earlier one, wherever its entry stands in the list", func() {
+	It("never return to an earlier one, whatever the position of its entry", func() {
 		Expect(f.SetInstance(entry(20, 5, false))).To(BeTrue())
 		Expect(f.SetInstance(entry(10, 9, true))).To(BeFalse())
 		Expect(f.Instance("i").Born).To(Equal(id.Birth(20)))
 		Expect(leaving()).To(BeFalse())
 	})
 
-	It("never go back to an earlier one after the later one has gone, for as long as a list may lag behind", func() {
+	It("never return to an earlier one after the later one was removed, for as long as a list may lag", func() {
 		f.SetInstance(entry(20, 5, false))
 		f.DropInstance("i", 6)
 		Expect(f.SetInstance(entry(10, 4, false))).To(BeFalse())
 		Expect(f.Instances()).To(BeEmpty())
-		Expect(f.SetInstance(entry(20, 7, false))).To(BeTrue(), "its record had lapsed, and it lives")
+		Expect(f.SetInstance(entry(20, 7, false))).To(BeTrue(), "its entry had expired, and it is alive")
 		f.DropInstance("i", 8)
-		now = now.Add(2 * wordLife)
+		now = now.Add(2 * announcementTTL)
 		f.SetInstance(&Instance{ID: "j", Born: 1, Address: "b"})
 		f.DropInstance("j", 9)
-		Expect(f.ended).To(HaveLen(1), "the memory is bounded")
+		Expect(f.ended).To(HaveLen(1), "expired incarnations are forgotten")
 	})
 
-	It("go by the order of the list where entries say no start", func() {
+	It("follow the order of the list if entries have no incarnation", func() {
 		f.SetInstance(entry(20, 5, false))
 		Expect(f.SetInstance(entry(0, 9, true))).To(BeTrue())
 		Expect(leaving()).To(BeTrue())
 	})
 
-	It("wake who waits for a change, as the later one holds nothing of the earlier", func() {
+	It("notify waiters of a later one, which holds none of the earlier one's versions", func() {
 		f.SetInstance(entry(10, 5, false))
 		c := f.Changed()
 		f.SetInstance(entry(20, 6, false))
 		Expect(c).To(BeClosed())
 	})
 
-	It("have words of their own: that an earlier one has left says nothing of a later one", func() {
+	It("have announcements of their own: the departure of an earlier one does not affect a later one", func() {
 		f.SetInstance(entry(20, 5, false))
 		Expect(f.ApplyAnnouncement(left(10, 99))).To(BeFalse())
 		Expect(leaving()).To(BeFalse())
 		Expect(f.ApplyAnnouncement(left(20, 99))).To(BeTrue())
 		Expect(leaving()).To(BeTrue())
 		Expect(f.SetInstance(entry(30, 98, false))).To(BeTrue())
-		Expect(leaving()).To(BeFalse(), "the list's order of that word was of a position, and the start is later for sure")
+		Expect(leaving()).To(BeFalse(), "a later incarnation takes precedence over a higher position")
 	})
 
-	It("are over with a word that a later one has left, of which the own list knows nothing yet", func() {
+	It("leave when a later one, not yet in the local list, is announced to have left", func() {
 		f.SetInstance(entry(10, 5, false))
 		Expect(f.ApplyAnnouncement(left(20, 9))).To(BeTrue())
 		Expect(leaving()).To(BeTrue())
 	})
 
-	It("are told apart in what is said of the watched address", func() {
+	It("are distinguished in the announcements about the watched address", func() {
 		f.WatchAddress("a")
 		f.SetInstance(entry(10, 3, true))
 		f.SetInstance(entry(20, 4, false))
@@ -88,29 +88,29 @@
 		Expect(l[0].Left).To(BeFalse())
 	})
 
-	It("come to the same in any order in which entries, words and departures of two of them arrive, however often", func() {
+	It("reach the same state in any order of duplicated entries, announcements and departures of two of them", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			f := New(time.Now)
 			laterLeaves := rapid.Bool().Draw(t, "the later one leaves")
 			earlierLeaves := rapid.Bool().Draw(t, "the earlier one leaves")
-			does := map[string]func(){
+			steps := map[string]func(){
 				"earlier entry": func() { f.SetInstance(entry(10, 1, false)) },
 				"later entry":   func() { f.SetInstance(entry(20, 3, false)) },
 			}
 			if earlierLeaves {
-				does["earlier leaving"] = func() { f.SetInstance(entry(10, 2, true)) }
-				does["word on the earlier"] = func() { f.ApplyAnnouncement(left(10, 7)) }
+				steps["earlier leaving"] = func() { f.SetInstance(entry(10, 2, true)) }
+				steps["announcement about the earlier"] = func() { f.ApplyAnnouncement(left(10, 7)) }
 			}
 			if laterLeaves {
-				does["word on the later"] = func() { f.ApplyAnnouncement(left(20, 5)) }
+				steps["announcement about the later"] = func() { f.ApplyAnnouncement(left(20, 5)) }
 			}
 			var all []string
-			for k := range does {
+			for k := range steps {
 				all = append(all, k, k)
 			}
 			order := rapid.Permutation(all).Draw(t, "order")
 			for _, k := range order {
-				does[k]()
+				steps[k]()
 			}
 			i := f.Instances()[0]
 			if i.Born != 20 || i.Leaving != laterLeaves {
@@ -120,8 +120,8 @@
 	})
 })
 
-var _ = Describe("an entry of a pool that the configuration does not name", func() {
-	It("names no upstream to use, and does not take the address of one", func() {
+var _ = Describe("an entry of a pool that is not in the configuration", func() {
+	It("is not used, and does not take the address of another entry", func() {
 		f := New(time.Now)
 		f.SetInstance(&Instance{ID: "good", Pool: "p", Address: "a", ListPosition: 1})
 		f.SetInstance(&Instance{ID: "other", Pool: "nobody's", Address: "a", ListPosition: 2})
@@ -129,6 +129,6 @@
 		Expect(f.Instances()).To(HaveLen(1))
 		Expect(f.Instances()[0].ID).To(Equal(id.Instance("good")))
 		f.SetCatalog(catalog.New(2, nil, []*catalog.Service{{Name: "p"}, {Name: "nobody's"}}, nil, catalog.Limits{}))
-		Expect(f.Instances()[0].ID).To(Equal(id.Instance("other")), "a later configuration may name it")
+		Expect(f.Instances()[0].ID).To(Equal(id.Instance("other")), "a later configuration may contain the pool")
 	})
 })
--- a/internal/facts/leaving.go
+++ b/internal/facts/leaving.go
@@ -6,47 +6,49 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// leaver is a start of an instance that has said itself that it leaves.
-type leaver struct {
+// leavingIncarnation is an incarnation that has declared itself that it leaves.
+type leavingIncarnation struct {
 	born id.Birth
-	// listed is when the own list was last known to have the instance.
-	listed time.Time
+	// lastListedAt is when the local copy of the list was last known to contain the instance.
+	lastListedAt time.Time
 }
 
-// MarkLeaving notes that a start of a listed instance has said itself, in an answer, that it leaves. That holds for the start for
-// good. It is false where that was known.
+// MarkLeaving notes that an upstream declared in an answer that it leaves. This is permanent for the incarnation. It
+// returns false if that was known already.
 func (f *Facts) MarkLeaving(n id.Instance, born id.Birth) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.leaves(n, born) {
+	if f.isLeaving(n, born) {
 		return false
 	}
-	f.addLeaver(n, born)
-	f.list.Store(nil)
+	f.addLeaving(n, born)
+	f.cachedList.Store(nil)
 	f.notify()
 	return true
 }
 
-// addLeaver notes a start that leaves; the caller holds the lock.
-func (f *Facts) addLeaver(n id.Instance, born id.Birth) {
+// addLeaving marks an incarnation as leaving; the caller holds the lock.
+func (f *Facts) addLeaving(n id.Instance, born id.Birth) {
 	now := f.now()
-	if len(f.leavers) >= mostHeard {
-		f.sweepLeavers(now)
+	if len(f.leaving) >= maxAnnounced {
+		f.sweepLeaving(now)
 	}
-	f.leavers[n] = leaver{born: born, listed: now}
+	f.leaving[n] = leavingIncarnation{born: born, lastListedAt: now}
 }
 
-// LeavingSource is who says that an upstream leaves.
+// LeavingSource is the source of the information that an upstream leaves.
 type LeavingSource int
 
-// The sources: its entry in the list, itself in an answer or in an entry that the list has lost, and the stager beside it.
+// The sources: the upstream's entry in the list; the upstream itself, in an answer or in an entry that the list has
+// lost; the upstream's stager.
 const (
 	LeavingByEntry LeavingSource = iota
 	LeavingByAnswer
 	LeavingByStager
 )
 
-// LeavingSource is who says that a listed upstream leaves that does.
+// LeavingSource returns the source of the information that a listed upstream leaves. It must only be called for an
+// upstream that does.
 func (f *Facts) LeavingSource(n id.Instance) LeavingSource {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -54,36 +56,37 @@
 	switch {
 	case i != nil && i.Leaving:
 		return LeavingByEntry
-	case i != nil && f.leaves(n, i.Born):
+	case i != nil && f.isLeaving(n, i.Born):
 		return LeavingByAnswer
 	default:
 		return LeavingByStager
 	}
 }
 
-// AnnouncedLeaving says whether a start of an instance has said itself that it leaves.
+// AnnouncedLeaving reports whether an incarnation has declared itself that it leaves.
 func (f *Facts) AnnouncedLeaving(n id.Instance, born id.Birth) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.leaves(n, born)
+	return f.isLeaving(n, born)
 }
 
-// leaves is AnnouncedLeaving for callers that hold the lock.
-func (f *Facts) leaves(n id.Instance, born id.Birth) bool {
-	l, ok := f.leavers[n]
+// isLeaving is AnnouncedLeaving for callers that hold the lock.
+func (f *Facts) isLeaving(n id.Instance, born id.Birth) bool {
+	l, ok := f.leaving[n]
 	return ok && !l.born.Before(born)
 }
 
-// sweepLeavers forgets instances that the own list has lacked for long: a list may come back older by seconds. The caller
-// holds the lock.
-func (f *Facts) sweepLeavers(now time.Time) {
-	for n, l := range f.leavers {
+// sweepLeaving forgets instances that the local copy of the list has lacked for longer than announcementTTL. They are
+// not forgotten earlier, because the list may be restored from a copy that is older by seconds. The caller holds the
+// lock.
+func (f *Facts) sweepLeaving(now time.Time) {
+	for n, l := range f.leaving {
 		switch {
 		case f.instances[n] != nil:
-			l.listed = now
-			f.leavers[n] = l
-		case now.Sub(l.listed) > wordLife:
-			delete(f.leavers, n)
+			l.lastListedAt = now
+			f.leaving[n] = l
+		case now.Sub(l.lastListedAt) > announcementTTL:
+			delete(f.leaving, n)
 		}
 	}
 }
--- a/internal/facts/leaving_test.go
+++ b/internal/facts/leaving_test.go
@@ -11,7 +11,7 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-var _ = Describe("a start that has said itself that it leaves", func() {
+var _ = Describe("an incarnation that has declared itself that it leaves", func() {
 	var now time.Time
 	var f *Facts
 	BeforeEach(func() {
@@ -21,7 +21,7 @@
 	})
 	leaving := func() bool { return f.Instances()[0].Leaving }
 
-	It("leaves whatever its entries say, and is news once", func() {
+	It("is leaving whatever its entries contain, and is reported as new once", func() {
 		changed := f.Changed()
 		Expect(f.MarkLeaving("i", 0)).To(BeTrue())
 		Expect(changed).To(BeClosed())
@@ -33,38 +33,38 @@
 		Expect(f.AnnouncedLeaving("i", 0)).To(BeTrue())
 	})
 
-	It("leaves still where its entry goes for a time and comes again", func() {
+	It("is still leaving when its entry disappears for a time and returns", func() {
 		f.MarkLeaving("i", 0)
-		now = now.Add(10 * wordLife)
+		now = now.Add(10 * announcementTTL)
 		f.SweepAnnouncements()
 		f.DropInstance("i", 4)
-		now = now.Add(wordLife)
+		now = now.Add(announcementTTL)
 		f.SweepAnnouncements()
 		f.SetInstance(&Instance{ID: "i", Address: "a", ListPosition: 5})
 		Expect(leaving()).To(BeTrue())
 	})
 
-	It("is forgotten once its entry has been gone for long", func() {
+	It("is forgotten once its entry has been missing for longer than the TTL", func() {
 		f.MarkLeaving("i", 0)
 		f.DropInstance("i", 4)
 		f.SweepAnnouncements()
-		now = now.Add(wordLife + time.Second)
+		now = now.Add(announcementTTL + time.Second)
 		f.SweepAnnouncements()
-		Expect(f.leavers).To(BeEmpty())
+		Expect(f.leaving).To(BeEmpty())
 	})
 
-	It("is forgotten also by a process that does not sweep, once there are many", func() {
-		for n := range 3 * mostHeard {
+	It("is forgotten without a sweep once there are too many", func() {
+		for n := range 3 * maxAnnounced {
 			i := id.Instance(fmt.Sprint("left-", n))
 			f.SetInstance(&Instance{ID: i, Address: "b", ListPosition: id.Position(n)})
 			f.MarkLeaving(i, 0)
 			f.DropInstance(i, id.Position(n))
 			now = now.Add(time.Second)
 		}
-		Expect(len(f.leavers)).To(BeNumerically("<=", mostHeard+1))
+		Expect(len(f.leaving)).To(BeNumerically("<=", maxAnnounced+1))
 	})
 
-	It("leaves by an entry that a list which has come back older calls ready, and is back by one of the same list", func() {
+	It("is leaving although a list restored from an older copy has it as ready; an entry of the same list brings it back", func() {
 		at := func(era, offset uint64) id.Position {
 			p, err := id.PositionAt(era, offset)
 			Expect(err).NotTo(HaveOccurred())
@@ -80,7 +80,7 @@
 		Expect(leaving()).To(BeTrue())
 	})
 
-	It("says nothing of another start of its ID, nor of another instance at its address", func() {
+	It("does not affect another incarnation of its ID, nor another instance at its address", func() {
 		f.SetInstance(&Instance{ID: "j", Address: "b", Born: 5, ListPosition: 4})
 		f.MarkLeaving("i", 0)
 		f.MarkLeaving("j", 5)
@@ -93,29 +93,29 @@
 		Expect(f.AnnouncedLeaving("j", 5)).To(BeTrue())
 	})
 
-	It("never comes back, in whatever order entries, departures and words follow", func() {
+	It("never becomes ready again, in any order of entries, removals and announcements", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			g := New(func() time.Time { return now })
 			g.SetInstance(&Instance{ID: "i", Address: "a", Born: 1, ListPosition: 1})
-			said := false
+			declared := false
 			for n := range rapid.IntRange(1, 12).Draw(t, "steps") {
-				seen := id.Position(rapid.Uint64Range(1, 20).Draw(t, "offset"))
+				position := id.Position(rapid.Uint64Range(1, 20).Draw(t, "offset"))
 				switch rapid.IntRange(0, 4).Draw(t, "step") {
 				case 0:
-					said = true
+					declared = true
 					g.MarkLeaving("i", 1)
 				case 1:
-					g.SetInstance(&Instance{ID: "i", Address: "a", Born: id.Birth(1), ListPosition: seen, Leaving: n%2 == 0})
+					g.SetInstance(&Instance{ID: "i", Address: "a", Born: id.Birth(1), ListPosition: position, Leaving: n%2 == 0})
 				case 2:
-					g.DropInstance("i", seen)
+					g.DropInstance("i", position)
 				case 3:
-					g.ApplyAnnouncement(Announcement{Instance: "i", Address: "a", Born: 1, Position: seen, Left: n%2 == 0})
+					g.ApplyAnnouncement(Announcement{Instance: "i", Address: "a", Born: 1, Position: position, Left: n%2 == 0})
 				default:
 					g.SweepAnnouncements()
 				}
 				for _, i := range g.Instances() {
-					if said && !i.Leaving {
-						t.Fatalf("%s has come back", i.ID)
+					if declared && !i.Leaving {
+						t.Fatalf("%s is ready again", i.ID)
 					}
 				}
 			}
--- a/internal/facts/list_test.go
+++ b/internal/facts/list_test.go
@@ -8,7 +8,7 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// BenchmarkList reads a list of 3,000 upstreams entry by entry, as a process does that starts.
+// BenchmarkList adds 3,000 upstreams entry by entry, as a starting process does, and then builds the list once.
 func BenchmarkList(b *testing.B) {
 	for b.Loop() {
 		f := New(time.Now)
@@ -16,7 +16,7 @@
 			f.SetInstance(&Instance{ID: id.Instance(fmt.Sprint(n)), Pool: "p", Address: fmt.Sprint("10.0.0.1:", n), ListPosition: id.Position(n)})
 		}
 		if len(f.Instances()) != 3000 {
-			b.Fatal("not all are listed")
+			b.Fatal("upstreams are missing from the list")
 		}
 	}
 }
--- a/internal/facts/overtaken_test.go
+++ b/internal/facts/overtaken_test.go
@@ -9,13 +9,13 @@
 	"github.com/springrail/springrail/internal/dating"
 )
 
-var _ = Describe("a version whose time was running out when a still newer one was named", func() {
-	It("is told from one that is followed just now", func() {
+var _ = Describe("a version whose time was running out when a second newer one was published", func() {
+	It("is distinguished from one with a single newer version", func() {
 		now := time.Unix(1000, 0)
 		f := New(func() time.Time { return now })
 		Expect(f.OvertakenAt("m", 1)).To(BeZero())
 		f.SetWanted("m", Publication{Revision: 2, PublishTime: dating.TimeBounds{After: now, KnownAt: now}})
-		Expect(f.OvertakenAt("m", 1)).To(BeZero(), "its whole time is left")
+		Expect(f.OvertakenAt("m", 1)).To(BeZero(), "its time starts with this publication")
 		now = now.Add(5 * time.Second)
 		f.SetWanted("m", Publication{Revision: 3, PublishTime: dating.TimeBounds{After: now, KnownAt: now}})
 		Expect(f.OvertakenAt("m", 1)).To(Equal(now))
--- a/internal/facts/part.go
+++ b/internal/facts/part.go
@@ -5,7 +5,7 @@
 	"github.com/springrail/springrail/internal/kernel"
 )
 
-// PartName is what other parts name in their needs.
+// PartName is the name under which other parts list the facts as a dependency.
 const PartName = "facts"
 
 func init() {
--- a/internal/facts/wanted.go
+++ b/internal/facts/wanted.go
@@ -8,65 +8,67 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// Wanted is the newest weights that operators have named for a model.
+// Wanted is a version of a model that operators have published.
 type Wanted struct {
 	Revision id.Revision
-	// PublishTime is that of the naming. The time of older versions runs from it: what this process learns late must not come on top.
+	// PublishTime bounds the time of publication. The remaining time of older versions counts from it, so that learning
+	// of the version late does not extend it.
 	PublishTime dating.TimeBounds
-	// LearntAt is when this process read of it.
+	// LearntAt is when this process learnt of the version.
 	LearntAt time.Time
-	// unread says that it stands for all versions up to it that this process has not read of, dated by the first of
-	// them: the date of the last one alone is too late.
-	unread bool
-	// proved says that no record names it here: an upstream serves it, or the origin has it.
-	proved bool
+	// gap marks a placeholder for the versions up to this one that this process has not read. Its publish time is that
+	// of the first of them; that of the last one would be too late.
+	gap bool
+	// observed is true of a version without a record: an upstream serves it, or the origin has it.
+	observed bool
 }
 
-// over says whether the time within which the weights have to be in use has passed. Where it is not known when they were
-// named, it may have.
-func (w Wanted) over(now time.Time, within time.Duration) bool {
+// expired reports whether the time within which the version has to be in use has passed. It assumes so if the publish
+// time is unknown.
+func (w Wanted) expired(now time.Time, within time.Duration) bool {
 	return w.PublishTime.After.IsZero() || now.Sub(w.PublishTime.After) > within
 }
 
-// Publication is what this process has read of new weights.
+// Publication is a record of a new version that this process has read.
 type Publication struct {
 	Revision id.Revision
-	// PublishTime is that of the naming; Missed is a moment before any naming that this process has not read, zero where none is known.
+	// PublishTime bounds the time of publication. CompleteUntil is a time up to which this process has read all
+	// publications, or zero if none is known.
 	PublishTime   dating.TimeBounds
 	CompleteUntil time.Time
 }
 
-// PublicationResult is what a naming has changed here.
+// PublicationResult is the effect of a publication on the facts.
 type PublicationResult struct {
-	// New says that the weights were not known.
+	// New is true if the version was not known.
 	New bool
-	// DateOutcome is what became of the date that was told.
+	// DateOutcome is the result of merging the publish time.
 	DateOutcome dating.Outcome
 }
 
-// SetWanted takes the weights that operators name for a model unless it knows newer ones.
+// SetWanted stores the version that operators have published for a model, unless a newer one is known.
 func (f *Facts) SetWanted(m id.Model, n Publication) PublicationResult {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	l := f.wanted[m]
 	last := newest(l)
 	if last.Revision >= n.Revision {
-		return PublicationResult{DateOutcome: f.date(m, n.Revision, n.PublishTime)}
+		return PublicationResult{DateOutcome: f.mergePublishTime(m, n.Revision, n.PublishTime)}
 	}
 	now := f.now()
 	if last.Revision+1 < n.Revision {
-		// Others may have been named in between, the first of them ever since the last reading.
-		l = remember(l, Wanted{Revision: n.Revision - 1, PublishTime: dating.TimeBounds{After: n.CompleteUntil}, LearntAt: now, unread: true})
+		// Other versions may have been published in between, the first of them at any time since the last reading.
+		l = appendVersion(l, Wanted{Revision: n.Revision - 1, PublishTime: dating.TimeBounds{After: n.CompleteUntil}, LearntAt: now, gap: true})
 	}
 	d, o := dating.TimeBounds{KnownAt: now}.Merge(n.PublishTime)
-	f.wanted[m], _ = agree(remember(l, Wanted{Revision: n.Revision, PublishTime: d, LearntAt: now}))
+	f.wanted[m], _ = withdrawContradicted(appendVersion(l, Wanted{Revision: n.Revision, PublishTime: d, LearntAt: now}))
 	f.notify()
 	return PublicationResult{New: true, DateOutcome: o}
 }
 
-// ObserveRevision takes a version that must have been named, as an upstream serves it or the origin calls it the newest, and says
-// whether it was not known. The newest record of a naming may be an older version's, written late, and is all that a
-// process can read at its start.
+// ObserveRevision notes a version that must have been published, because an upstream serves it or the origin has it as
+// the newest. It returns false if that version or a newer one was known. The newest record may be of an older version,
+// if it was written late, and a starting process reads nothing else.
 func (f *Facts) ObserveRevision(m id.Model, r id.Revision) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -77,34 +79,34 @@
 	}
 	now := f.now()
 	if last.Revision+1 < r {
-		l = remember(l, Wanted{Revision: r - 1, LearntAt: now, unread: true})
+		l = appendVersion(l, Wanted{Revision: r - 1, LearntAt: now, gap: true})
 	}
-	f.wanted[m], _ = agree(remember(l, Wanted{Revision: r, PublishTime: dating.TimeBounds{KnownAt: now}, LearntAt: now, proved: true}))
+	f.wanted[m], _ = withdrawContradicted(appendVersion(l, Wanted{Revision: r, PublishTime: dating.TimeBounds{KnownAt: now}, LearntAt: now, observed: true}))
 	f.notify()
 	return true
 }
 
-// ObservedRevision returns the newest version of a model where it is known without its record, or 0.
+// ObservedRevision returns the newest version of a model if it is known without its record, or 0.
 func (f *Facts) ObservedRevision(m id.Model) id.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if w := newest(f.wanted[m]); w.proved {
+	if w := newest(f.wanted[m]); w.observed {
 		return w.Revision
 	}
 	return 0
 }
 
-// MergePublishTime takes what another process tells of the naming of weights: one that starts while a version is brought out reads
-// it in the store without its age.
+// MergePublishTime merges the publish time of a version as another process knows it. A process that starts during a
+// rollout reads the version in the store without its age.
 func (f *Facts) MergePublishTime(m id.Model, r id.Revision, d dating.TimeBounds) dating.Outcome {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.date(m, r, d)
+	return f.mergePublishTime(m, r, d)
 }
 
-// date is Date; the caller holds the lock.
-func (f *Facts) date(m id.Model, r id.Revision, d dating.TimeBounds) dating.Outcome {
-	i := slices.IndexFunc(f.wanted[m], func(w Wanted) bool { return w.Revision == r && !w.unread })
+// mergePublishTime is MergePublishTime for callers that hold the lock.
+func (f *Facts) mergePublishTime(m id.Model, r id.Revision, d dating.TimeBounds) dating.Outcome {
+	i := slices.IndexFunc(f.wanted[m], func(w Wanted) bool { return w.Revision == r && !w.gap })
 	if i < 0 {
 		return dating.Kept
 	}
@@ -115,7 +117,7 @@
 	}
 	l := slices.Clone(f.wanted[m])
 	l[i].PublishTime = merged
-	l, withdrawn := agree(l)
+	l, withdrawn := withdrawContradicted(l)
 	f.wanted[m] = l
 	if withdrawn || !merged.After.Equal(old.After) {
 		f.notify()
@@ -123,10 +125,10 @@
 	return o
 }
 
-// agree withdraws the dates of versions that lie after a moment at which some process knew a later one. Reports tell of
-// the newest version alone: a wrong date of the one before it would stand. It says whether one was withdrawn; the list
-// must not be shared.
-func agree(l []Wanted) (_ []Wanted, withdrawn bool) {
+// withdrawContradicted removes publish times that are later than when some process knew of a later version. Reports
+// contain the newest version only, so a wrong time of the version before it would otherwise persist. It returns whether
+// it removed one; the slice must not be shared.
+func withdrawContradicted(l []Wanted) (_ []Wanted, withdrawn bool) {
 	for i := len(l) - 2; i >= 0; i-- {
 		d, o := l[i].PublishTime.Merge(dating.TimeBounds{KnownAt: l[i+1].PublishTime.KnownAt})
 		l[i].PublishTime, withdrawn = d, withdrawn || o == dating.Withdrawn
@@ -134,20 +136,21 @@
 	return l, withdrawn
 }
 
-// remember adds to the versions named for a model; the slice given stays as it is.
-func remember(l []Wanted, w Wanted) []Wanted {
-	if len(l) >= maxNamed {
+// appendVersion adds a version to a bounded list without modifying the slice.
+func appendVersion(l []Wanted, w Wanted) []Wanted {
+	if len(l) >= maxVersions {
 		l = l[1:]
 	}
 	return append(l[:len(l):len(l)], w)
 }
 
 const (
-	// firstRevision is what a model has before operators name another one.
+	// firstRevision is the revision of a model before operators publish another one.
 	firstRevision = 1
-	// maxNamed bounds the named versions that are remembered of a model; only those of the last seconds matter. With 16, 21
-	// versions in 8 s let requests begin 2.3 s late on one whose end had been forgotten (fault soak); one each 0.1 s makes 200.
-	maxNamed = 256
+	// maxVersions limits the published versions that are kept for a model; only those of the last seconds matter. With
+	// 16, 21 versions published in 8 s let requests begin 2.3 s late on a version whose end had been forgotten. One
+	// version every 0.1 s makes 200.
+	maxVersions = 256
 )
 
 func newest(l []Wanted) Wanted {
@@ -157,30 +160,30 @@
 	return l[len(l)-1]
 }
 
-// Wanted returns the newest weights named for a model.
+// Wanted returns the newest published version of a model.
 func (f *Facts) Wanted(m id.Model) Wanted {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return newest(f.wanted[m])
 }
 
-// MinRevision returns the oldest version of a model that may still take requests: each version has to be in use, or a newer
-// one, within a time of its naming, whatever has been named since. It is 0 where any will do.
+// MinRevision returns the oldest version of a model that may still take requests, or 0 if any may. Each version, or a
+// newer one, has to be in use within the given time of its publication, whatever was published after it.
 func (f *Facts) MinRevision(m id.Model, within time.Duration) id.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.now()
 	l := f.wanted[m]
 	for i := len(l) - 1; i >= 0; i-- {
-		if l[i].over(now, within) {
+		if l[i].expired(now, within) {
 			return l[i].Revision
 		}
 	}
 	return 0
 }
 
-// OvertakenAt returns when this process learnt of the newest version of a model, where the time of an older one was
-// running out by then, as another version had followed it before; it is zero elsewhere.
+// OvertakenAt returns when this process learnt of the newest version of a model, if an earlier version newer than r had
+// been published before it, so that the time of r was already running out. Otherwise it returns zero.
 func (f *Facts) OvertakenAt(m id.Model, r id.Revision) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -191,9 +194,9 @@
 	return l[len(l)-1].LearntAt
 }
 
-// ServableUntil returns when a version of a model may take no new requests any more: a time after the first newer one was named,
-// or when this process read of that one where it does not know since when it is named. It is zero for a version that
-// nothing newer is known to follow.
+// ServableUntil returns when a version of a model may no longer take new requests: the given time after the first newer
+// one was published, or when this process learnt of that one if its publish time is unknown. It is zero if no newer
+// version is known.
 func (f *Facts) ServableUntil(m id.Model, r id.Revision, within time.Duration) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
