--- a/internal/dating/dating.go
+++ b/internal/dating/dating.go
@@ -1,27 +1,27 @@
-// Package dating brackets the moment of an event whose time nobody was told: a record of the store says what operators
-// have named, and not when. A process knows moments at which the event had not happened yet, and moments at which
-// somebody already knew of it.
+// Package dating bounds the time of an event that is not recorded: a record of the store contains which version
+// operators have published, but not when. A process knows times at which the event had not happened yet, and times at
+// which some process already knew of it.
 package dating
 
 import "time"
 
-// Evidence is how a process knows that an event had not happened at a moment.
+// Evidence is how a process knows that an event had not happened at a given time.
 type Evidence uint8
 
 // The kinds of evidence.
 const (
 	NoEvidence Evidence = iota
-	// EarlierRead is a reading of the store that did not show the event yet.
+	// EarlierRead is an earlier read of the store that did not return the event.
 	EarlierRead
-	// LongPoll is a question that had waited at the store for just this event.
+	// LongPoll is a long poll that was waiting at the store for this event.
 	LongPoll
-	// StoreReturn is the end of a time in which the store was away for the process that had read all before it.
+	// StoreReturn is the end of an outage of the store, for a process that had read everything before it.
 	StoreReturn
 )
 
 var evidenceNames = [...]string{NoEvidence: "none", EarlierRead: "earlier reading", LongPoll: "wait", StoreReturn: "return of the store"}
 
-// String names the evidence for a log line.
+// String returns the name that logs use.
 func (e Evidence) String() string {
 	if int(e) >= len(evidenceNames) {
 		return evidenceNames[NoEvidence]
@@ -29,84 +29,86 @@
 	return evidenceNames[e]
 }
 
-// DateSource is who dated an event, and how.
+// DateSource is the process that dated an event, and its evidence.
 type DateSource struct {
-	// Observer is the address of the process that saw it.
+	// Observer is the address of the process that observed the event.
 	Observer string
 	Evidence Evidence
 }
 
-// TimeBounds is what is known of the moment of an event.
+// TimeBounds is a lower and an upper bound of the time of an event.
 type TimeBounds struct {
-	// After is a moment, by the steady clock, at which the event had not happened yet; zero where none is known. It is the date that
-	// deadlines are counted from.
+	// After is a time, by the monotonic clock, at which the event had not happened yet; zero if none is known. Deadlines
+	// count from it.
 	After time.Time
-	// KnownAt is the earliest moment at which some process is known to have known of the event; zero where none is known. A date
-	// behind it is wrong, whoever tells it; without this check one wrong date goes round to all processes that have none.
+	// KnownAt is the earliest time at which some process is known to have known of the event; zero if none is known. A
+	// lower bound later than it is wrong, whichever process sent it. Without this check, one wrong bound would spread to
+	// all processes that have none.
 	KnownAt time.Time
-	// Source is that of After.
+	// Source is the source of After.
 	Source DateSource
 }
 
-// Outcome is what became of what another process tells of an event.
+// Outcome is the result of merging the bounds that another process sent.
 type Outcome uint8
 
 // The outcomes of Merge.
 const (
-	// Kept is a date that stands, or that is still not known.
+	// Kept means that the local date stands, or that still none is known.
 	Kept Outcome = iota
-	// Taken is a date where none was known.
+	// Taken means that the remote date was adopted because none was known.
 	Taken
-	// Refused is a date that can't be right.
+	// Refused means that the remote date contradicts the time at which the event was known.
 	Refused
-	// Withdrawn is the own date, which can't be right; another one may have taken its place.
+	// Withdrawn means that the local date contradicted the time at which the event was known and was removed; a remote
+	// one may have replaced it.
 	Withdrawn
 )
 
 var outcomeNames = [...]string{Kept: "kept", Taken: "taken", Refused: "refused", Withdrawn: "withdrawn"}
 
-// String names the outcome for a log line.
+// String returns the name that logs use.
 func (o Outcome) String() string {
 	return outcomeNames[o]
 }
 
-// Merge adds what another process tells. A date that is known only ever moves earlier, and only where it is shown to be
-// wrong: another one that is earlier still is as true and says less. Where no date is left, none is known.
+// Merge merges the bounds that another process sent. A known date is only replaced, by an earlier one, if it is shown to
+// be wrong: a bound that is merely earlier is also correct but less precise. If no valid date remains, none is known.
 func (b TimeBounds) Merge(o TimeBounds) (TimeBounds, Outcome) {
-	had := earliest(b.KnownAt, o.KnownAt)
-	told := TimeBounds{After: o.After, KnownAt: had, Source: o.Source}
-	own := TimeBounds{After: b.After, KnownAt: had, Source: b.Source}
+	knownAt := earliest(b.KnownAt, o.KnownAt)
+	remote := TimeBounds{After: o.After, KnownAt: knownAt, Source: o.Source}
+	local := TimeBounds{After: b.After, KnownAt: knownAt, Source: b.Source}
 	switch {
-	case own.dated() && !own.wrong():
-		if told.wrong() {
-			return own, Refused
+	case local.dated() && !local.contradicted():
+		if remote.contradicted() {
+			return local, Refused
 		}
-		return own, Kept
-	case told.dated() && !told.wrong():
-		if own.dated() {
-			return told, Withdrawn
+		return local, Kept
+	case remote.dated() && !remote.contradicted():
+		if local.dated() {
+			return remote, Withdrawn
 		}
-		return told, Taken
-	case own.dated():
-		return TimeBounds{KnownAt: had}, Withdrawn
-	case told.dated():
-		return TimeBounds{KnownAt: had}, Refused
+		return remote, Taken
+	case local.dated():
+		return TimeBounds{KnownAt: knownAt}, Withdrawn
+	case remote.dated():
+		return TimeBounds{KnownAt: knownAt}, Refused
 	default:
-		return TimeBounds{KnownAt: had}, Kept
+		return TimeBounds{KnownAt: knownAt}, Kept
 	}
 }
 
-// dated says whether a date is known.
+// dated reports whether a date is known.
 func (b TimeBounds) dated() bool {
 	return !b.After.IsZero()
 }
 
-// wrong says whether somebody knew of the event before the date.
-func (b TimeBounds) wrong() bool {
+// contradicted reports whether some process knew of the event before the date.
+func (b TimeBounds) contradicted() bool {
 	return b.dated() && !b.KnownAt.IsZero() && b.After.After(b.KnownAt)
 }
 
-// earliest returns the earlier of two moments; zero is none.
+// earliest returns the earlier of two times; zero means none.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
--- a/internal/dating/dating_test.go
+++ b/internal/dating/dating_test.go
@@ -16,7 +16,7 @@
 	spec.Run(t, "Dating")
 }
 
-var _ = Describe("a bracket", func() {
+var _ = Describe("time bounds", func() {
 	start := time.Unix(1000, 0)
 	at := func(s int) time.Time {
 		if s == 0 {
@@ -25,40 +25,40 @@
 		return start.Add(time.Duration(s) * time.Second)
 	}
 	for _, c := range []struct {
-		text               string
-		after, had         int
-		toldAfter, toldHad int
-		wantAfter, wantHad int
-		want               Outcome
+		text                       string
+		after, knownAt             int
+		remoteAfter, remoteKnownAt int
+		wantAfter, wantKnownAt     int
+		want                       Outcome
 	}{
-		{"takes a date where it has none", 0, 9, 5, 8, 5, 8, Taken},
-		{"keeps its date where another one says less", 6, 9, 5, 8, 6, 8, Kept},
-		{"keeps its date where another one is later", 5, 9, 6, 8, 5, 8, Kept},
-		{"refuses a date after the moment at which this process knew", 0, 9, 10, 0, 0, 9, Refused},
-		{"refuses a date after the moment at which its own teller knew", 0, 0, 10, 9, 0, 9, Refused},
-		{"refuses a wrong date beside a right one", 5, 9, 10, 0, 5, 9, Refused},
-		{"gives its date up where somebody knew before it", 8, 9, 0, 7, 0, 7, Withdrawn},
-		{"puts an earlier one in its place", 8, 9, 6, 7, 6, 7, Withdrawn},
-		{"knows nothing of nothing", 0, 0, 0, 0, 0, 0, Kept},
+		{"take a date if none is known", 0, 9, 5, 8, 5, 8, Taken},
+		{"keep the date if another one is less precise", 6, 9, 5, 8, 6, 8, Kept},
+		{"keep the date if another one is later", 5, 9, 6, 8, 5, 8, Kept},
+		{"refuse a date after this process knew of the event", 0, 9, 10, 0, 0, 9, Refused},
+		{"refuse a date after its sender knew of the event", 0, 0, 10, 9, 0, 9, Refused},
+		{"refuse a wrong date and keep the right one", 5, 9, 10, 0, 5, 9, Refused},
+		{"withdraw the date if some process knew of the event before it", 8, 9, 0, 7, 0, 7, Withdrawn},
+		{"replace a withdrawn date by an earlier one", 8, 9, 6, 7, 6, 7, Withdrawn},
+		{"stay empty without any date", 0, 0, 0, 0, 0, 0, Kept},
 	} {
 		It(c.text, func() {
-			got, o := TimeBounds{After: at(c.after), KnownAt: at(c.had)}.Merge(TimeBounds{After: at(c.toldAfter), KnownAt: at(c.toldHad)})
-			Expect(got).To(Equal(TimeBounds{After: at(c.wantAfter), KnownAt: at(c.wantHad)}))
+			got, o := TimeBounds{After: at(c.after), KnownAt: at(c.knownAt)}.Merge(TimeBounds{After: at(c.remoteAfter), KnownAt: at(c.remoteKnownAt)})
+			Expect(got).To(Equal(TimeBounds{After: at(c.wantAfter), KnownAt: at(c.wantKnownAt)}))
 			Expect(o).To(Equal(c.want))
 		})
 	}
 
-	It("never moves its date later, and ends before what anybody knew, in any order", func() {
+	It("never move the date later, and never keep one after the event was known, in any order", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			moment := rapid.IntRange(0, 20)
 			var b TimeBounds
-			for range rapid.IntRange(1, 12).Draw(t, "told") {
-				o := TimeBounds{After: at(moment.Draw(t, "after")), KnownAt: at(moment.Draw(t, "had"))}
+			for range rapid.IntRange(1, 12).Draw(t, "merges") {
+				o := TimeBounds{After: at(moment.Draw(t, "after")), KnownAt: at(moment.Draw(t, "known at"))}
 				n, _ := b.Merge(o)
 				if b.dated() && n.dated() && n.After.After(b.After) {
 					t.Fatalf("%v became %v", b, n)
 				}
-				if n.wrong() {
+				if n.contradicted() {
 					t.Fatalf("%v is after %v", n.After, n.KnownAt)
 				}
 				b = n
@@ -66,7 +66,7 @@
 		})
 	})
 
-	It("is told with its origin, and takes a kind of evidence that it does not know for none", func() {
+	It("encode their source, and decode an unknown kind of evidence as none", func() {
 		o := DateSource{Observer: "a", Evidence: StoreReturn}
 		Expect(SourceFromProto(o.Proto())).To(Equal(o))
 		Expect(DateSource{}.Proto()).To(BeNil())
@@ -74,7 +74,7 @@
 		Expect(SourceFromProto(&pb.DateOrigin{By: "a", Evidence: -1})).To(Equal(DateSource{Observer: "a"}))
 	})
 
-	It("names its evidence and outcomes", func() {
+	It("have names for evidence and outcomes", func() {
 		Expect([]string{StoreReturn.String(), Evidence(200).String(), Withdrawn.String()}).To(Equal([]string{"return of the store", "none", "withdrawn"}))
 	})
 })
--- a/internal/dating/wire.go
+++ b/internal/dating/wire.go
@@ -2,7 +2,7 @@
 
 import pb "github.com/springrail/springrail/gen/springrail/v1"
 
-// Proto is an origin as processes tell it each other; nil where there is none.
+// Proto encodes a source for other processes; nil if there is none.
 func (o DateSource) Proto() *pb.DateOrigin {
 	if o == (DateSource{}) {
 		return nil
@@ -10,7 +10,7 @@
 	return &pb.DateOrigin{By: o.Observer, Evidence: pb.Evidence(o.Evidence)}
 }
 
-// SourceFromProto is the origin that another process tells.
+// SourceFromProto decodes the source that another process sent. An unknown kind of evidence becomes NoEvidence.
 func SourceFromProto(o *pb.DateOrigin) DateSource {
 	e := o.GetEvidence()
 	if e < 0 || int(e) >= len(evidenceNames) {
