--- a/internal/swapplan/plan_test.go
+++ b/internal/swapplan/plan_test.go
@@ -17,8 +17,8 @@
 
 var start = time.Unix(1000, 0)
 
-// drawn is a view with a version staged some time before or after the end of the one that is served.
-func drawn(t *rapid.T) Inputs {
+// drawInputs draws inputs with a version staged some time before or after the end of the one that is served.
+func drawInputs(t *rapid.T) Inputs {
 	size := rapid.IntRange(1, 60).Draw(t, "size")
 	return Inputs{
 		StagedAt:      start.Add(time.Duration(rapid.IntRange(0, 9000).Draw(t, "staged")) * time.Millisecond),
@@ -28,48 +28,48 @@
 	}
 }
 
-var _ = Describe("the moment at which an upstream changes over", func() {
-	It("is after the version is there, and before the old one ends if that is possible at all", func() {
+var _ = Describe("the time at which an upstream swaps", func() {
+	It("is after the version is staged, and before the old one ends if possible", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			v := drawn(t)
-			at := LoadAt(v)
+			inputs := drawInputs(t)
+			at := LoadAt(inputs)
 			switch {
-			case at.Before(v.StagedAt):
-				t.Fatalf("%v before the version is there", v.StagedAt.Sub(at))
-			case v.StagedAt.Before(v.ServableUntil) && at.After(v.ServableUntil):
-				t.Fatalf("%v after the old version's end", at.Sub(v.ServableUntil))
-			case !v.StagedAt.Before(v.ServableUntil) && !at.Equal(v.StagedAt):
+			case at.Before(inputs.StagedAt):
+				t.Fatalf("%v before the version is staged", inputs.StagedAt.Sub(at))
+			case inputs.StagedAt.Before(inputs.ServableUntil) && at.After(inputs.ServableUntil):
+				t.Fatalf("%v after the old version's end", at.Sub(inputs.ServableUntil))
+			case !inputs.StagedAt.Before(inputs.ServableUntil) && !at.Equal(inputs.StagedAt):
 				t.Fatalf("waits although nothing is served")
 			}
 		})
 	})
 
-	It("leaves the others of the domain their change-over, where there is time for one after the other", func() {
+	It("lets the upstreams of the domain swap one after the other if there is time", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			v := drawn(t)
-			v.ServableUntil = v.StagedAt.Add(time.Duration(v.Size) * v.SwapDuration)
-			for v.Rank = 0; v.Rank+1 < v.Size; v.Rank++ {
-				next := v
+			inputs := drawInputs(t)
+			inputs.ServableUntil = inputs.StagedAt.Add(time.Duration(inputs.Size) * inputs.SwapDuration)
+			for inputs.Rank = 0; inputs.Rank+1 < inputs.Size; inputs.Rank++ {
+				next := inputs
 				next.Rank++
-				if gap := LoadAt(next).Sub(LoadAt(v)); gap < v.SwapDuration {
-					t.Fatalf("only %v between two that take %v", gap, v.SwapDuration)
+				if gap := LoadAt(next).Sub(LoadAt(inputs)); gap < inputs.SwapDuration {
+					t.Fatalf("only %v between two that take %v", gap, inputs.SwapDuration)
 				}
 			}
 		})
 	})
 
-	It("comes later for those whose version still holds when an older one ends", func() {
-		v := Inputs{StagedAt: start, ServableUntil: start.Add(5 * time.Second), OlderServableUntil: start.Add(time.Second), Size: 4, SwapDuration: time.Second}
-		Expect(LoadAt(v)).To(Equal(start.Add(time.Second)))
-		v.OlderServableUntil = time.Time{}
-		Expect(LoadAt(v)).To(Equal(start))
+	It("is later for upstreams whose version may be served longer than an older one", func() {
+		inputs := Inputs{StagedAt: start, ServableUntil: start.Add(5 * time.Second), OlderServableUntil: start.Add(time.Second), Size: 4, SwapDuration: time.Second}
+		Expect(LoadAt(inputs)).To(Equal(start.Add(time.Second)))
+		inputs.OlderServableUntil = time.Time{}
+		Expect(LoadAt(inputs)).To(Equal(start))
 	})
 
-	It("is beyond the old version's end for some upstreams where the version only bridges a gap", func() {
-		v := Inputs{StagedAt: start, ServableUntil: start.Add(3500 * time.Millisecond), Size: 7, SwapDuration: 1300 * time.Millisecond, BridgeOnly: true}
+	It("is after the old version's end for some upstreams if the version only bridges a gap", func() {
+		inputs := Inputs{StagedAt: start, ServableUntil: start.Add(3500 * time.Millisecond), Size: 7, SwapDuration: 1300 * time.Millisecond, BridgeOnly: true}
 		loading := 0
-		for v.Rank = range v.Size {
-			if !LoadAt(v).After(v.ServableUntil) {
+		for inputs.Rank = range inputs.Size {
+			if !LoadAt(inputs).After(inputs.ServableUntil) {
 				loading++
 			}
 		}
@@ -78,24 +78,24 @@
 })
 
 var _ = Describe("a superseded version", func() {
-	const out = 1300 * time.Millisecond
-	use := func(n NextVersion, now, until time.Duration) Need {
+	const swapDuration = 1300 * time.Millisecond
+	need := func(n NextVersion, now, until time.Duration) Need {
 		n.StartedAt = start
-		return NeedFor(start.Add(until), out, n, start.Add(now))
+		return NeedFor(start.Add(until), swapDuration, n, start.Add(now))
 	}
 
-	It("is needless where the newer one comes in time", func() {
-		Expect(use(NextVersion{ChunksTotal: 64, ChunksHeld: 32, UsualDuration: 3 * time.Second}, time.Second, 4*time.Second)).To(Equal(Unneeded))
+	It("is not needed if the newer one is available in time", func() {
+		Expect(need(NextVersion{ChunksTotal: 64, ChunksHeld: 32, UsualDuration: 3 * time.Second}, time.Second, 4*time.Second)).To(Equal(Unneeded))
 	})
 
-	It("bridges the gap where the newer one comes soon after", func() {
-		Expect(use(NextVersion{ChunksTotal: 64, UsualDuration: 3200 * time.Millisecond}, 0, 2600*time.Millisecond)).To(Equal(BridgesGap))
+	It("bridges the gap if the newer one is available soon after", func() {
+		Expect(need(NextVersion{ChunksTotal: 64, UsualDuration: 3200 * time.Millisecond}, 0, 2600*time.Millisecond)).To(Equal(BridgesGap))
 	})
 
-	It("is needed once the newer one stands still, whatever has come of it", func() {
+	It("is needed once the transfer of the newer one stalls, however many chunks are available", func() {
 		for _, held := range []int{0, 10, 40} {
 			n := NextVersion{ChunksTotal: 64, ChunksHeld: held, UsualDuration: 3 * time.Second}
-			Expect(use(n, 6*time.Second, 7*time.Second)).To(Equal(Needed), "with %d chunks", held)
+			Expect(need(n, 6*time.Second, 7*time.Second)).To(Equal(Needed), "with %d chunks", held)
 		}
 	})
 })
