--- a/internal/activation/turn_test.go
+++ b/internal/activation/swap_test.go
@@ -18,8 +18,8 @@
 	spec.Run(t, "Activation")
 }
 
-// out counts the VMs whose old version is out of service and whose new one is not in.
-func out(l []Replica) int {
+// countLoading returns the number of VMs whose old version is out of service and whose new one is not ready yet.
+func countLoading(l []Replica) int {
 	n := 0
 	for _, p := range l {
 		if p.State == pb.ReplicaState_REPLICA_STATE_LOADING {
@@ -29,8 +29,8 @@
 	return n
 }
 
-var _ = Describe("turns", func() {
-	It("never have more than the wave out, and let all VMs swap in the end, in any order of asking and loading", func() {
+var _ = Describe("swaps", func() {
+	It("never take more VMs than the wave out of service, and all VMs swap eventually, in any order of requests and loads", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			n := rapid.IntRange(1, 12).Draw(t, "vms")
 			wave := WaveSize(n, rapid.Float64Range(0.01, 1).Draw(t, "share"))
@@ -39,19 +39,19 @@
 				l = append(l, Replica{VM: id.VM(fmt.Sprint(i)), State: pb.ReplicaState_REPLICA_STATE_COMPLETE, ServesOther: true})
 			}
 			r := &pb.Rollout{}
-			var given []id.VM
+			var granted []id.VM
 			step := func(i int, ask bool) {
 				switch {
 				case ask && l[i].State == pb.ReplicaState_REPLICA_STATE_COMPLETE:
-					if MaySwap(r, l[i].VM, l, given, wave, time.Unix(1, 0)) {
-						given = append(given, l[i].VM)
+					if MaySwap(r, l[i].VM, l, granted, wave, time.Unix(1, 0)) {
+						granted = append(granted, l[i].VM)
 						l[i].State = pb.ReplicaState_REPLICA_STATE_LOADING
 					}
 				case !ask && l[i].State == pb.ReplicaState_REPLICA_STATE_LOADING:
 					l[i].State, l[i].ServesOther = pb.ReplicaState_REPLICA_STATE_READY, false
 				}
-				if out(l) > wave {
-					t.Fatalf("%d out with a wave of %d", out(l), wave)
+				if countLoading(l) > wave {
+					t.Fatalf("%d VMs are loading with a wave of %d", countLoading(l), wave)
 				}
 			}
 			for range rapid.IntRange(0, 60).Draw(t, "steps") {
@@ -65,13 +65,13 @@
 			}
 			for _, p := range l {
 				if p.State != pb.ReplicaState_REPLICA_STATE_READY {
-					t.Fatalf("%s never had its turn", p.VM)
+					t.Fatalf("%s never swapped", p.VM)
 				}
 			}
 		})
 	})
 
-	It("wait for the rollout's time where a swap would take a version away, and not where there is none", func() {
+	It("wait for the rollout's start time if they would unload a version, and not otherwise", func() {
 		r := &pb.Rollout{NotBeforeUnixMs: 2000}
 		serving := []Replica{{VM: "a", State: pb.ReplicaState_REPLICA_STATE_COMPLETE, ServesOther: true}}
 		fresh := []Replica{{VM: "a", State: pb.ReplicaState_REPLICA_STATE_COMPLETE}}
@@ -80,7 +80,7 @@
 		Expect(MaySwap(r, "a", fresh, nil, 1, time.UnixMilli(1))).To(BeTrue())
 	})
 
-	DescribeTable("open a domain", func(want bool, ready int, at int64, state pb.RolloutState) {
+	DescribeTable("let a domain accept traffic", func(want bool, ready int, at int64, state pb.RolloutState) {
 		r := &pb.Rollout{MinReady: 2, NotBeforeUnixMs: 1000, State: state}
 		Expect(AcceptsTraffic(r, ready, time.UnixMilli(at))).To(Equal(want))
 	},
