--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -6,59 +6,60 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// Incarnation is one start of an upstream's process.
+// Incarnation is one lifetime of an upstream's process.
 type Incarnation struct {
 	Address  string
 	Instance id.Instance
-	// Born tells the starts of one instance apart; 0 where it is not known.
+	// Born identifies the incarnation of an instance; 0 if it is not known.
 	Born id.Birth
 }
 
-// CallerAttempt tells the tries of a request's callers apart, each of which has an id of its own.
+// CallerAttempt identifies one attempt of a request's callers; each attempt has its own request ID.
 type CallerAttempt uint32
 
-// CallerAttemptOf returns the try with an id.
+// CallerAttemptOf returns the attempt with a request ID.
 func CallerAttemptOf(r id.Request) CallerAttempt {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(r))
 	return CallerAttempt(h.Sum32())
 }
 
-// InFlightRequest is a request that an upstream had when its process ended.
+// InFlightRequest is a request that was in flight at an upstream when its process ended.
 type InFlightRequest struct {
 	Fingerprint  Fingerprint
 	Organisation id.Organisation
 	Attempt      CallerAttempt
-	// Alone is true of one that was sent on alone, as it was suspected.
+	// Alone is true of a suspected request that the gateway sent to one upstream only, with no other copy in flight.
 	Alone bool
 }
 
-// Crash is the end of an upstream's process as one gateway has seen it, with that gateway's own requests there.
+// Crash is the end of an upstream's process as one gateway saw it, with the gateway's own requests that were in flight
+// there.
 type Crash struct {
 	Incarnation Incarnation
 	Requests    []InFlightRequest
 }
 
-// HeldRequest is a request that is held: it is not sent to upstreams any more.
+// HeldRequest is a request that is held: gateways no longer send it to upstreams.
 type HeldRequest struct {
 	Fingerprint  Fingerprint
 	Organisation id.Organisation
-	// Incarnations are those that ended under it.
+	// Incarnations are the upstream processes that crashed under the request.
 	Incarnations []Incarnation
-	// HeldBy is the VM whose gateway held it first, as far as it is known, and SinceUnixMs when, by that VM's time of day,
-	// which may jump: it is for people to read and decides nothing.
+	// HeldBy is the VM whose gateway held the request first, as far as known. SinceUnixMs is when, by that VM's time of
+	// day, which may jump: it informs operators and decides nothing.
 	HeldBy      id.VM
 	SinceUnixMs int64
-	// refused is how often this process has refused it.
+	// refused is how often this process has refused the request.
 	refused uint64
 }
 
-// CrashNews is what gateways tell each other.
+// CrashNews is what gateways exchange about crashes and suspected requests.
 type CrashNews struct {
 	Crashes []Crash
-	// Served are requests that have been answered whole although they were suspected.
+	// Served are requests that were answered completely although they were suspected.
 	Served []Fingerprint
-	// Held are requests that the teller holds from now on.
+	// Held are requests that the sender holds from now on.
 	Held []HeldRequest
 }
 
@@ -66,20 +67,22 @@
 type Verdict uint8
 
 const (
-	// Pass says that nothing speaks against it.
+	// Pass means that there is no evidence against the request.
 	Pass Verdict = iota
-	// Alone says that two starts or more have ended under it. A gateway sends one repeat at a time on, to one upstream;
-	// whether that ends too is what tells a request that crashes upstreams from one that was there.
+	// Alone means that two or more upstream processes have crashed under the request. A gateway sends one repeat at a
+	// time, to one upstream. Whether that one crashes too distinguishes a request that crashes upstreams from one that
+	// was merely in flight there.
 	Alone
-	// Waits says that enough is known to hold it, and what other gateways have seen of the same ends is still on its way.
+	// Waits means that the evidence suffices to hold the request, but other gateways' reports of the same crashes may
+	// still be in transit.
 	Waits
-	// Held says that it is not sent on.
+	// Held means that the request is not sent.
 	Held
 )
 
 var verdictNames = [...]string{Pass: "pass", Alone: "alone", Waits: "waits", Held: "held"}
 
-// String names a verdict.
+// String returns the name of the verdict.
 func (v Verdict) String() string {
 	return verdictNames[v]
 }
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,8 +1,8 @@
-// Package quarantine finds requests that crash the upstreams which run them, and keeps them from being sent on.
+// Package quarantine detects requests that crash the upstreams which run them, and keeps them from being sent again.
 //
-// A request that crashes its upstream comes again, at any gateway and under a new id each time. What tells it from others is
-// that it was there each time that an upstream's process ended. The package knows no network: gateways tell it what they see,
-// and what others have seen.
+// A request that crashes its upstream is repeated at any gateway and with a new ID each time. It is recognised by being
+// in flight each time that an upstream's process ends. The detection itself uses no network: gateways pass in the
+// crashes that they see and those that others report.
 package quarantine
 
 import (
@@ -14,21 +14,21 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// fingerprintBytes is the length of a Fingerprint. Nobody can make two requests with the same one, or one with another
-// organisation's, in fewer than 2^64 tries.
+// fingerprintBytes is the length of a Fingerprint. Producing two requests with the same one, or one with another
+// organisation's, takes 2^64 attempts.
 const fingerprintBytes = 16
 
-// Fingerprint tells a request from others across its repeats: requests with the same method, path, query, organisation and
-// body have the same one.
+// Fingerprint identifies a request across its repeats: requests with the same method, path, query, organisation and body
+// have the same one.
 type Fingerprint [fingerprintBytes]byte
 
-// Of returns the fingerprint of a request. Target is the path and query as the caller sent them, and body what of the body is
-// held. Headers are left out, as ids and deadlines differ between repeats, and so is the host, as routes of several hosts
-// lead to the same upstreams.
+// Of returns the fingerprint of a request. Target is the path and query as the caller sent them, and body the buffered
+// part of the body. It excludes headers, because IDs and deadlines differ between repeats, and the host, because routes
+// of several hosts lead to the same upstreams.
 func Of(method, target string, o id.Organisation, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{method, target, string(o)} {
-		// With its length before it, no part can run over into the next one.
+		// The length prefix makes the concatenation of the parts unambiguous.
 		var n [8]byte
 		binary.BigEndian.PutUint64(n[:], uint64(len(part)))
 		h.Write(n[:])
@@ -39,15 +39,15 @@
 	return Fingerprint(h.Sum(sum[:0])[:fingerprintBytes])
 }
 
-// String is the form that logs and operators see.
+// String returns the form that logs and operators use.
 func (f Fingerprint) String() string {
 	return hex.EncodeToString(f[:])
 }
 
-// ErrFingerprint says that a text or some bytes are no fingerprint.
+// ErrFingerprint is returned for a text or bytes that are not a fingerprint.
 var ErrFingerprint = errors.New("not a fingerprint: 32 hexadecimal digits are expected")
 
-// Parse reads what String wrote.
+// Parse parses the output of String.
 func Parse(s string) (Fingerprint, error) {
 	b, err := hex.DecodeString(s)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return FromBytes(b)
 }
 
-// FromBytes reads a fingerprint as messages carry it.
+// FromBytes decodes a fingerprint from a message.
 func FromBytes(b []byte) (Fingerprint, error) {
 	if len(b) != fingerprintBytes {
 		return Fingerprint{}, ErrFingerprint
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -16,7 +16,7 @@
 }
 
 var _ = Describe("a fingerprint", func() {
-	It("is the same for repeats, and another one for each part that differs or has moved into the next", func() {
+	It("is the same for repeats, and differs if any part differs or moves into the next part", func() {
 		of := map[Fingerprint]string{}
 		for name, f := range map[string]Fingerprint{
 			"itself": Of("POST", "/a?b", "gym", []byte("x")), "method": Of("GET", "/a?b", "gym", []byte("x")),
@@ -30,7 +30,7 @@
 		Expect(of[Of("POST", "/a?b", "gym", []byte("x"))]).To(Equal("itself"))
 	})
 
-	It("is read back from its text and bytes, and from nothing else", func() {
+	It("is parsed from its text and its bytes only", func() {
 		f := Of("POST", "/a", "gym", nil)
 		Expect(Parse(f.String())).To(Equal(f))
 		Expect(FromBytes(f[:])).To(Equal(f))
@@ -42,7 +42,7 @@
 })
 
 func BenchmarkOf(b *testing.B) {
-	// 0.95 us for a body of 1 KB, beside 480 us of a choice among 870 upstreams (BenchmarkChoice of the gateway).
+	// Takes 0.95 us for a body of 1 KB, compared with 480 us for choosing among 870 upstreams.
 	body := make([]byte, 1<<10)
 	for b.Loop() {
 		Of("POST", "/some/path", "gym", body)
--- a/internal/quarantine/held.go
+++ b/internal/quarantine/held.go
@@ -7,74 +7,74 @@
 )
 
 const (
-	// mostOfOne bounds the held requests of one organisation, and mostHeld those of all. Each has cost three crashes;
-	// at its bound an organisation's oldest one is let go, so that no organisation can free another's. An entry takes
-	// 0.3 KB, so all take 1.3 MB.
-	mostOfOne = 256
-	mostHeld  = 4096
+	// maxHeldPerOrganisation limits the held requests of one organisation, and maxHeld those of all. Each has cost three
+	// crashes. At its limit an organisation's oldest entry is evicted, so that no organisation can release another's
+	// requests. An entry takes 0.3 KB, so all take 1.3 MB.
+	maxHeldPerOrganisation = 256
+	maxHeld                = 4096
 )
 
-// held is the set of held requests.
-type held struct {
+// heldSet is the bounded set of held requests.
+type heldSet struct {
 	entries map[Fingerprint]*HeldRequest
-	// order lists each organisation's from the oldest on.
-	order map[id.Organisation][]Fingerprint
+	// byOrganisation lists the entries of each organisation, oldest first.
+	byOrganisation map[id.Organisation][]Fingerprint
 }
 
-func newHeld() *held {
-	return &held{entries: map[Fingerprint]*HeldRequest{}, order: map[id.Organisation][]Fingerprint{}}
+func newHeld() *heldSet {
+	return &heldSet{entries: map[Fingerprint]*HeldRequest{}, byOrganisation: map[id.Organisation][]Fingerprint{}}
 }
 
-func (h *held) get(f Fingerprint) *HeldRequest {
+func (h *heldSet) get(f Fingerprint) *HeldRequest {
 	return h.entries[f]
 }
 
-func (h *held) size() int {
+func (h *heldSet) size() int {
 	return len(h.entries)
 }
 
-// put adds an entry, and returns the one that was let go for it, or nil.
-func (h *held) put(e HeldRequest) (dropped *HeldRequest) {
+// put adds an entry and returns the one that it evicted, or nil.
+func (h *heldSet) put(e HeldRequest) (evicted *HeldRequest) {
 	h.drop(e.Fingerprint)
 	switch {
-	case len(h.order[e.Organisation]) >= mostOfOne:
-		dropped = h.drop(h.order[e.Organisation][0])
-	case len(h.entries) >= mostHeld:
-		dropped = h.drop(h.order[h.largest()][0])
+	case len(h.byOrganisation[e.Organisation]) >= maxHeldPerOrganisation:
+		evicted = h.drop(h.byOrganisation[e.Organisation][0])
+	case len(h.entries) >= maxHeld:
+		evicted = h.drop(h.byOrganisation[h.largest()][0])
 	}
 	h.entries[e.Fingerprint] = &e
-	h.order[e.Organisation] = append(h.order[e.Organisation], e.Fingerprint)
-	return dropped
+	h.byOrganisation[e.Organisation] = append(h.byOrganisation[e.Organisation], e.Fingerprint)
+	return evicted
 }
 
-// largest is the organisation with the most entries.
-func (h *held) largest() (most id.Organisation) {
-	for o, l := range h.order {
-		if n := len(h.order[most]); len(l) > n || (len(l) == n && o < most) {
-			most = o
+// largest returns the organisation with the most entries.
+func (h *heldSet) largest() (largest id.Organisation) {
+	for o, l := range h.byOrganisation {
+		if n := len(h.byOrganisation[largest]); len(l) > n || (len(l) == n && o < largest) {
+			largest = o
 		}
 	}
-	return most
+	return largest
 }
 
 // drop removes an entry and returns it, or nil.
-func (h *held) drop(f Fingerprint) *HeldRequest {
+func (h *heldSet) drop(f Fingerprint) *HeldRequest {
 	e := h.entries[f]
 	if e == nil {
 		return nil
 	}
 	delete(h.entries, f)
-	l := slices.DeleteFunc(h.order[e.Organisation], func(o Fingerprint) bool { return o == f })
+	l := slices.DeleteFunc(h.byOrganisation[e.Organisation], func(o Fingerprint) bool { return o == f })
 	if len(l) == 0 {
-		delete(h.order, e.Organisation)
+		delete(h.byOrganisation, e.Organisation)
 	} else {
-		h.order[e.Organisation] = l
+		h.byOrganisation[e.Organisation] = l
 	}
 	return e
 }
 
-// list returns all entries, the oldest first.
-func (h *held) list() []HeldRequest {
+// list returns all entries, oldest first.
+func (h *heldSet) list() []HeldRequest {
 	l := make([]HeldRequest, 0, len(h.entries))
 	for _, e := range h.entries {
 		l = append(l, *e)
--- a/internal/quarantine/news.go
+++ b/internal/quarantine/news.go
@@ -5,51 +5,51 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// mostTold bounds the requests of one message, which take about 40 bytes each, so that it fits into one packet.
-const mostTold = 32
+// maxRequestsPerMessage limits the requests in one message so that it fits into a packet; each takes about 40 bytes.
+const maxRequestsPerMessage = 32
 
-// Messages encodes news, as several messages where one would be too long for a packet.
+// Messages encodes crash news, as several messages if one would not fit into a packet.
 func (n CrashNews) Messages() (l []*pb.CrashNews) {
 	for _, e := range n.Crashes {
 		for rest := e.Requests; len(rest) > 0; {
-			part := rest[:min(mostTold, len(rest))]
+			part := rest[:min(maxRequestsPerMessage, len(rest))]
 			rest = rest[len(part):]
-			l = append(l, &pb.CrashNews{Ends: []*pb.UpstreamEnd{{Start: e.Incarnation.tell(), Requests: tellPresent(part)}}})
+			l = append(l, &pb.CrashNews{Ends: []*pb.UpstreamEnd{{Start: e.Incarnation.toProto(), Requests: inFlightToProto(part)}}})
 		}
 	}
 	if len(n.Served) > 0 {
 		m := &pb.CrashNews{}
-		for _, f := range n.Served[:min(mostTold, len(n.Served))] {
+		for _, f := range n.Served[:min(maxRequestsPerMessage, len(n.Served))] {
 			m.Served = append(m.Served, f[:])
 		}
 		l = append(l, m)
 	}
 	for _, h := range n.Held {
-		l = append(l, &pb.CrashNews{Held: []*pb.HeldNews{{Fingerprint: h.Fingerprint[:], Request: h.tell()}}})
+		l = append(l, &pb.CrashNews{Held: []*pb.HeldNews{{Fingerprint: h.Fingerprint[:], Request: h.toProto()}}})
 	}
 	return l
 }
 
-func tellPresent(of []InFlightRequest) (l []*pb.PresentRequest) {
+func inFlightToProto(of []InFlightRequest) (l []*pb.PresentRequest) {
 	for _, p := range of {
 		l = append(l, &pb.PresentRequest{Fingerprint: p.Fingerprint[:], Organisation: string(p.Organisation), Try: uint32(p.Attempt), Alone: p.Alone})
 	}
 	return l
 }
 
-func (s Incarnation) tell() *pb.UpstreamStart {
+func (s Incarnation) toProto() *pb.UpstreamStart {
 	return &pb.UpstreamStart{Address: s.Address, Instance: string(s.Instance), Born: uint64(s.Born)}
 }
 
-func startOf(m *pb.UpstreamStart) Incarnation {
+func incarnationFromProto(m *pb.UpstreamStart) Incarnation {
 	return Incarnation{Address: m.GetAddress(), Instance: id.Instance(m.GetInstance()), Born: id.Birth(m.GetBorn())}
 }
 
-// ApplyNews takes what another gateway tells. What is no fingerprint is counted and left out.
+// ApplyNews applies the crash news of another gateway. Invalid fingerprints are counted and skipped.
 func (l *SuspectTracker) ApplyNews(m *pb.CrashNews) {
-	for _, told := range m.GetEnds() {
-		e := Crash{Incarnation: startOf(told.GetStart())}
-		for _, p := range told.GetRequests() {
+	for _, crash := range m.GetEnds() {
+		e := Crash{Incarnation: incarnationFromProto(crash.GetStart())}
+		for _, p := range crash.GetRequests() {
 			f, err := FromBytes(p.GetFingerprint())
 			if err != nil {
 				l.vars.Add("malformed", 1)
@@ -75,6 +75,6 @@
 			l.vars.Add("malformed", 1)
 			continue
 		}
-		l.AddHeld(holdFrom(f, h.GetRequest()))
+		l.AddHeld(heldFromProto(f, h.GetRequest()))
 	}
 }
--- a/internal/quarantine/part.go
+++ b/internal/quarantine/part.go
@@ -9,7 +9,7 @@
 	"github.com/springrail/springrail/internal/rpc"
 )
 
-// PartName is what other parts name in their needs.
+// PartName is the name under which other parts list the quarantine as a dependency.
 const PartName = "quarantine"
 
 func init() {
@@ -26,15 +26,15 @@
 	})
 }
 
-// Quarantine is a gateway's list, with the ways on which it hears of others' and is kept.
+// Quarantine is a gateway's suspect tracker, connected to the other gateways and to the platform's store.
 type Quarantine struct {
 	*Persister
 	Suspects *SuspectTracker
-	// Broadcast tells all gateways.
+	// Broadcast sends crash news to all gateways.
 	Broadcast func(n CrashNews)
 }
 
-// New connects a list with other gateways, by way of stagers, and with the platform's store.
+// New connects a suspect tracker with the other gateways, by way of stagers, and with the platform's store.
 func New(l *SuspectTracker, s *reports.Subscriber, p *records.Platform) *Quarantine {
 	q := &Quarantine{Suspects: l, Persister: NewPersister(p.Store, p.HeldTopic, l, l.now, l.log)}
 	q.Broadcast = func(n CrashNews) {
@@ -43,7 +43,7 @@
 		}
 	}
 	s.OnCrashNews = l.ApplyNews
-	l.OnHeld = append(l.OnHeld, q.Persist, q.tellHeld)
+	l.OnHeld = append(l.OnHeld, q.Persist, q.broadcastHeld)
 	l.OnServed = func(f Fingerprint) {
 		q.Remove(f)
 		q.Broadcast(CrashNews{Served: []Fingerprint{f}})
@@ -51,14 +51,15 @@
 	return q
 }
 
-// tellHeld tells the others of a request that this gateway has come to hold by itself: one that lacks news of an end has it so.
-func (q *Quarantine) tellHeld(h HeldRequest) {
+// broadcastHeld sends a request that this gateway has decided to hold to the other gateways, because one that missed the
+// report of a crash can't decide so itself.
+func (q *Quarantine) broadcastHeld(h HeldRequest) {
 	if h.HeldBy == q.Suspects.vm {
 		q.Broadcast(CrashNews{Held: []HeldRequest{h}})
 	}
 }
 
-// ReportCrash takes an end that this gateway has seen, and tells the others.
+// ReportCrash adds a crash that this gateway has seen, and sends it to the other gateways.
 func (q *Quarantine) ReportCrash(e Crash) {
 	q.Suspects.RecordCrash(e)
 	q.Broadcast(CrashNews{Crashes: []Crash{e}})
--- /dev/null
+++ b/internal/quarantine/persister.go
@@ -0,0 +1,381 @@
+package quarantine
+
+import (
+	"context"
+	"errors"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"github.com/gravitational/trace"
+	"github.com/phuslu/log"
+	"google.golang.org/protobuf/proto"
+
+	pb "github.com/springrail/springrail/gen/springrail/v1"
+	"github.com/springrail/springrail/internal/id"
+	"github.com/springrail/springrail/internal/kernel"
+	"github.com/springrail/springrail/internal/platform"
+	"github.com/springrail/springrail/internal/records"
+)
+
+const (
+	// longPollWait is how long a long poll for new records waits at the store, which limits it to 30 s. A gateway thus
+	// makes two to three calls a minute while there are none.
+	longPollWait = 25 * time.Second
+	// retryDelay is the delay after a failure. A random delay of up to the same length is added, so that gateways don't
+	// retry at the same time.
+	retryDelay = time.Second
+	// writeSpread is the time over which gateways that hold a request at the same moment spread their writes: all but
+	// the first find the record written.
+	writeSpread = 500 * time.Millisecond
+)
+
+// Persister keeps held requests in the platform's store, so that they survive a restart of all gateways, and applies the
+// records of other gateways to the suspect tracker.
+type Persister struct {
+	store    records.Store
+	topic    string
+	suspects *SuspectTracker
+	now      func() time.Time
+	log      *log.Logger
+
+	mu sync.Mutex
+	// pending are the records that this process has yet to write, with the time at which each is due; a nil value
+	// deletes a key.
+	pending map[Fingerprint]pendingWrite
+	// stored are the requests whose records have been read or written, and lifted those whose records have since been
+	// deleted.
+	stored, lifted map[Fingerprint]bool
+	// snapshotPosition is the end position of the newest snapshot that was read.
+	snapshotPosition id.Position
+	wake             chan struct{}
+}
+
+// pendingWrite is a record to be written.
+type pendingWrite struct {
+	value []byte
+	dueAt time.Time
+}
+
+// NewPersister creates a persister for a suspect tracker and a topic of the store.
+func NewPersister(s records.Store, topic string, l *SuspectTracker, now func() time.Time, g *log.Logger) *Persister {
+	return &Persister{
+		store: s, topic: topic, suspects: l, now: now, log: g, pending: map[Fingerprint]pendingWrite{}, stored: map[Fingerprint]bool{}, lifted: map[Fingerprint]bool{}, wake: make(chan struct{}, 1),
+	}
+}
+
+// Run reads and writes records until the context ends.
+func (k *Persister) Run(ctx context.Context) error {
+	var wg sync.WaitGroup
+	wg.Go(func() { k.writePending(ctx) })
+	k.follow(ctx)
+	wg.Wait()
+	return nil
+}
+
+// Persist schedules the write of a held request's record, unless another process has written it.
+func (k *Persister) Persist(h HeldRequest) {
+	b, err := proto.Marshal(h.toProto())
+	if err != nil {
+		k.log.Error().Err(err).Stringer("fingerprint", h.Fingerprint).Msg("failed to encode a held request")
+		return
+	}
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if !k.stored[h.Fingerprint] {
+		k.schedule(h.Fingerprint, pendingWrite{value: b, dueAt: k.now().Add(rand.N(writeSpread))})
+	}
+}
+
+// Remove schedules the deletion of the record of a request that is no longer held.
+func (k *Persister) Remove(f Fingerprint) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	_, due := k.pending[f]
+	if due || k.stored[f] {
+		k.schedule(f, pendingWrite{dueAt: k.now()})
+	}
+}
+
+// schedule adds a pending write and wakes the writer; the caller holds the lock.
+func (k *Persister) schedule(f Fingerprint, w pendingWrite) {
+	k.pending[f] = w
+	select {
+	case k.wake <- struct{}{}:
+	default:
+	}
+}
+
+// writePending writes the records that are due until the context ends.
+func (k *Persister) writePending(ctx context.Context) {
+	for ctx.Err() == nil {
+		f, w, wait := k.next()
+		if wait > 0 {
+			k.pause(ctx, wait)
+			continue
+		}
+		at, err := k.store.Append(ctx, k.topic, records.Record{Key: f.String(), Value: w.value})
+		if err != nil || !k.confirm(f, w, at) {
+			k.postpone(f, w)
+		}
+	}
+}
+
+// idleCheckInterval is how often the writer checks for pending writes if it isn't woken.
+const idleCheckInterval = time.Minute
+
+// next returns the pending write that is due first, and how long until then.
+func (k *Persister) next() (first Fingerprint, w pendingWrite, wait time.Duration) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	wait = idleCheckInterval
+	for f, o := range k.pending {
+		if remaining := o.dueAt.Sub(k.now()); remaining < wait {
+			first, w, wait = f, o, remaining
+		}
+	}
+	return first, w, wait
+}
+
+// pause waits for a duration or until a new write is pending.
+func (k *Persister) pause(ctx context.Context, d time.Duration) {
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-ctx.Done():
+	case <-t.C:
+	case <-k.wake:
+	}
+}
+
+// confirm notes that a record has been stored. It returns false if the write predates a restore of the store from an
+// older copy, which may lack the record.
+func (k *Persister) confirm(f Fingerprint, w pendingWrite, at id.Position) bool {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if at.Era() < k.snapshotPosition.Era() {
+		return false
+	}
+	k.markStored(f, w.value != nil)
+	if o, ok := k.pending[f]; ok && o.dueAt.Equal(w.dueAt) {
+		delete(k.pending, f)
+	}
+	return true
+}
+
+// maxLifted limits the requests that are remembered as lifted.
+const maxLifted = 1024
+
+// markStored notes whether the store has a record of a request; the caller holds the lock.
+func (k *Persister) markStored(f Fingerprint, stored bool) {
+	if stored {
+		k.stored[f] = true
+		delete(k.lifted, f)
+		return
+	}
+	if k.stored[f] && len(k.lifted) < maxLifted {
+		k.lifted[f] = true
+	}
+	delete(k.stored, f)
+}
+
+// postpone delays a record that could not be written.
+func (k *Persister) postpone(f Fingerprint, w pendingWrite) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if o, ok := k.pending[f]; ok && o.dueAt.Equal(w.dueAt) {
+		w.dueAt = k.now().Add(retryPause())
+		k.pending[f] = w
+	}
+}
+
+func retryPause() time.Duration {
+	return retryDelay + rand.N(retryDelay)
+}
+
+// follow applies all records of the topic, and then each new one.
+func (k *Persister) follow(ctx context.Context) {
+	next, started := id.Position(0), false
+	for ctx.Err() == nil {
+		var err error
+		if started {
+			next, err = k.read(ctx, next)
+		} else {
+			next, err = k.readSnapshot(ctx)
+		}
+		switch {
+		case ctx.Err() != nil:
+			return
+		case err == nil:
+			started = true
+			continue
+		case errors.Is(err, platform.ErrOffsetExpired):
+			started = false
+		}
+		kernel.Pause(ctx, retryPause())
+	}
+}
+
+// readSnapshot applies the newest record of each key and lifts requests whose record has been deleted. If the store was
+// restored from an older copy since the last snapshot, it repairs the store's records instead.
+func (k *Persister) readSnapshot(ctx context.Context) (next id.Position, err error) {
+	l, next, err := k.store.Snapshot(ctx, k.topic, func(int) {})
+	if err != nil {
+		return 0, err
+	}
+	restored, err := k.enterEra(next)
+	if err != nil {
+		return 0, err
+	}
+	present := map[Fingerprint]bool{}
+	for _, r := range l {
+		if restored && k.removeAgain(r.Key) {
+			continue
+		}
+		if f, ok := k.applyRecord(r); ok {
+			present[f] = true
+		}
+	}
+	if restored {
+		k.rewriteMissing(present)
+		return next, nil
+	}
+	for _, f := range k.takeVanished(present) {
+		k.suspects.Lift(f)
+	}
+	return next, nil
+}
+
+// enterEra stores the end position of a snapshot, and returns whether it is of a later store epoch than the one before.
+func (k *Persister) enterEra(next id.Position) (restored bool, err error) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	err = records.CheckEra(next, k.snapshotPosition)
+	if errors.Is(err, platform.ErrUnavailable) {
+		return false, err
+	}
+	k.snapshotPosition = next
+	return err != nil, nil
+}
+
+// removeAgain returns whether the request of a record was lifted before the store was restored, and if so schedules the
+// deletion of the record.
+func (k *Persister) removeAgain(key string) bool {
+	f, err := Parse(key)
+	if err != nil {
+		return false
+	}
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if !k.lifted[f] {
+		return false
+	}
+	k.schedule(f, pendingWrite{dueAt: k.now().Add(rand.N(writeSpread))})
+	return true
+}
+
+// rewriteMissing schedules the write of the records that the store lacks. All gateways do so, each after a random delay;
+// the first one's records make the others' writes unnecessary.
+func (k *Persister) rewriteMissing(present map[Fingerprint]bool) {
+	for _, h := range k.suspects.HeldRequests() {
+		if present[h.Fingerprint] {
+			continue
+		}
+		k.mu.Lock()
+		delete(k.stored, h.Fingerprint)
+		k.mu.Unlock()
+		k.Persist(h)
+	}
+}
+
+// takeVanished removes and returns the requests whose records were stored and no longer are.
+func (k *Persister) takeVanished(present map[Fingerprint]bool) (l []Fingerprint) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	for f := range k.stored {
+		if !present[f] {
+			delete(k.stored, f)
+			l = append(l, f)
+		}
+	}
+	return l
+}
+
+// read applies the records from a position on.
+func (k *Persister) read(ctx context.Context, from id.Position) (next id.Position, err error) {
+	a, err := k.store.Read(ctx, k.topic, from, longPollWait)
+	if err == nil {
+		err = records.CheckEra(a.Next, from)
+	}
+	if err != nil {
+		return from, err
+	}
+	for _, r := range a.Records {
+		k.applyRecord(r)
+	}
+	return a.Next, nil
+}
+
+// applyRecord applies one record to the suspect tracker, and returns whether it is of a held request.
+func (k *Persister) applyRecord(r records.Record) (f Fingerprint, ok bool) {
+	f, err := Parse(r.Key)
+	if err != nil {
+		k.skipRecord(r, err)
+		return f, false
+	}
+	if r.Value == nil {
+		k.noteStored(f, false)
+		k.suspects.Lift(f)
+		return f, false
+	}
+	h, err := decodeHeld(f, r.Value)
+	if err != nil {
+		k.skipRecord(r, err)
+		return f, false
+	}
+	k.noteStored(f, true)
+	k.suspects.AddHeld(h)
+	return f, true
+}
+
+// noteStored notes the store's record of a request, and cancels a pending write with the same effect.
+func (k *Persister) noteStored(f Fingerprint, stored bool) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	w, due := k.pending[f]
+	if due && (w.value != nil) == stored {
+		delete(k.pending, f)
+	}
+	k.markStored(f, stored)
+}
+
+// skipRecord logs and counts an invalid record; other programs may write to the topic.
+func (k *Persister) skipRecord(r records.Record, err error) {
+	k.suspects.vars.Add("records_skipped", 1)
+	k.log.Warn().Err(err).Str("key", r.Key).Uint64("offset", r.Position.Offset()).Uint64("era", r.Position.Era()).Msg("skipped an invalid record of a held request")
+}
+
+// proto encodes a held request as its record.
+func (h *HeldRequest) toProto() *pb.HeldRequest {
+	m := &pb.HeldRequest{Organisation: string(h.Organisation), By: string(h.HeldBy), SinceUnixMs: h.SinceUnixMs}
+	for _, s := range h.Incarnations {
+		m.Starts = append(m.Starts, s.toProto())
+	}
+	return m
+}
+
+func decodeHeld(f Fingerprint, value []byte) (HeldRequest, error) {
+	var m pb.HeldRequest
+	if err := proto.Unmarshal(value, &m); err != nil {
+		return HeldRequest{}, trace.Wrap(err)
+	}
+	return heldFromProto(f, &m), nil
+}
+
+func heldFromProto(f Fingerprint, m *pb.HeldRequest) HeldRequest {
+	h := HeldRequest{Fingerprint: f, Organisation: id.Organisation(m.GetOrganisation()), HeldBy: id.VM(m.GetBy()), SinceUnixMs: m.GetSinceUnixMs()}
+	for _, s := range m.GetStarts() {
+		h.Incarnations = append(h.Incarnations, incarnationFromProto(s))
+	}
+	return h
+}
--- a/internal/quarantine/served.go
+++ b/internal/quarantine/served.go
@@ -3,44 +3,45 @@
 import "time"
 
 const (
-	// servedLife is how long an answered request is remembered: one that many callers send is answered again and again,
-	// and is no suspect however many upstreams end beside it.
-	servedLife = time.Minute
-	// mostServed bounds the requests that are remembered: a gateway of today's deployments answers 30 a second. They take 0.4 MB.
-	mostServed = 4096
+	// servedTTL is how long an answered request is remembered. One that many callers send is answered again and again,
+	// and is not suspected however many upstreams crash while it is in flight.
+	servedTTL = time.Minute
+	// maxServed limits the requests that are remembered; a gateway typically answers 30 a second. They take 0.4 MB.
+	maxServed = 4096
 )
 
-// served remembers the requests that were answered last.
-type served struct {
-	now  func() time.Time
-	last map[Fingerprint]time.Time
-	// ring is in the order of answers; next is the place of the oldest.
-	ring []Fingerprint
-	next int
+// recentlyServed remembers the requests that were answered last.
+type recentlyServed struct {
+	now      func() time.Time
+	servedAt map[Fingerprint]time.Time
+	// ring holds the requests in the order of their first answers; oldest is the index of the oldest one once it is
+	// full.
+	ring   []Fingerprint
+	oldest int
 }
 
-func newServed(now func() time.Time) *served {
-	return &served{now: now, last: map[Fingerprint]time.Time{}}
+func newServed(now func() time.Time) *recentlyServed {
+	return &recentlyServed{now: now, servedAt: map[Fingerprint]time.Time{}}
 }
 
 // add notes an answer.
-func (s *served) add(f Fingerprint) {
-	_, known := s.last[f]
-	s.last[f] = s.now()
+func (s *recentlyServed) add(f Fingerprint) {
+	_, known := s.servedAt[f]
+	s.servedAt[f] = s.now()
 	if known {
 		return
 	}
-	if len(s.ring) < mostServed {
+	if len(s.ring) < maxServed {
 		s.ring = append(s.ring, f)
 		return
 	}
-	delete(s.last, s.ring[s.next])
-	s.ring[s.next] = f
-	s.next = (s.next + 1) % mostServed
+	delete(s.servedAt, s.ring[s.oldest])
+	s.ring[s.oldest] = f
+	s.oldest = (s.oldest + 1) % maxServed
 }
 
-// has says whether a request was answered lately.
-func (s *served) has(f Fingerprint) bool {
-	at, ok := s.last[f]
-	return ok && s.now().Sub(at) < servedLife
+// has reports whether a request was answered recently.
+func (s *recentlyServed) has(f Fingerprint) bool {
+	at, ok := s.servedAt[f]
+	return ok && s.now().Sub(at) < servedTTL
 }
--- a/internal/quarantine/service.go
+++ b/internal/quarantine/service.go
@@ -11,15 +11,15 @@
 	pb "github.com/springrail/springrail/gen/springrail/v1"
 )
 
-// ErrNotHeld says that a request is not held.
+// ErrNotHeld is returned for a request that is not held.
 var ErrNotHeld = errors.New("the request is not held")
 
-// ListHeld implements the quarantine service.
+// ListHeld implements the quarantine service: it lists held and suspected requests.
 func (q *Quarantine) ListHeld(context.Context, *pb.ListHeldRequest) (*pb.ListHeldResponse, error) {
-	return &pb.ListHeldResponse{Entries: q.Suspects.tellAll()}, nil
+	return &pb.ListHeldResponse{Entries: q.Suspects.listEntries()}, nil
 }
 
-// LiftHeld implements the quarantine service.
+// LiftHeld implements the quarantine service: it releases a held request.
 func (q *Quarantine) LiftHeld(_ context.Context, r *pb.LiftHeldRequest) (*pb.LiftHeldResponse, error) {
 	f, err := Parse(strings.TrimSpace(r.GetFingerprint()))
 	if err != nil {
@@ -28,25 +28,25 @@
 	if !q.Suspects.Lift(f) {
 		return nil, connect.NewError(connect.CodeNotFound, ErrNotHeld)
 	}
-	// Others hear of it by the record.
+	// The other gateways release the request when its record is deleted.
 	q.Remove(f)
 	return &pb.LiftHeldResponse{}, nil
 }
 
-// tellAll lists the held requests and then the suspected ones, each the oldest first.
-func (l *SuspectTracker) tellAll() (all []*pb.HeldEntry) {
+// listEntries lists the held requests, oldest first, and then the suspected ones, by fingerprint.
+func (l *SuspectTracker) listEntries() (all []*pb.HeldEntry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, h := range l.held.list() {
-		all = append(all, &pb.HeldEntry{Fingerprint: h.Fingerprint.String(), Request: h.tell(), Refused: l.held.get(h.Fingerprint).refused, Held: true})
+		all = append(all, &pb.HeldEntry{Fingerprint: h.Fingerprint.String(), Request: h.toProto(), Refused: l.held.get(h.Fingerprint).refused, Held: true})
 	}
 	var suspects []*pb.HeldEntry
 	for f, s := range l.suspects {
-		if len(s.ends) < enough-1 {
+		if len(s.crashes) < minCrashes-1 {
 			continue
 		}
-		h := l.holdOf(f, s)
-		suspects = append(suspects, &pb.HeldEntry{Fingerprint: f.String(), Request: h.tell()})
+		h := l.heldRequestOf(f, s)
+		suspects = append(suspects, &pb.HeldEntry{Fingerprint: f.String(), Request: h.toProto()})
 	}
 	slices.SortFunc(suspects, func(a, b *pb.HeldEntry) int { return strings.Compare(a.GetFingerprint(), b.GetFingerprint()) })
 	return append(all, suspects...)
--- a/internal/quarantine/service_test.go
+++ b/internal/quarantine/service_test.go
@@ -15,16 +15,16 @@
 	ctx := context.Background()
 	bad := request("bad")
 
-	It("see what is held and suspected, under which starts, and how often it was refused", func() {
-		d := newDesk()
+	It("can list held and suspected requests with their crashes and refusals", func() {
+		d := newManualTracker()
 		q := &Quarantine{Suspects: d.SuspectTracker}
 		for n := range 3 {
-			d.RecordCrash(endOf(n, "bad"))
+			d.RecordCrash(crashOf(n, "bad"))
 		}
-		d.settled()
-		d.RecordCrash(endOf(7, "suspect"))
-		d.RecordCrash(endOf(8, "suspect"))
-		d.RecordCrash(endOf(9, "once"))
+		d.runTimers()
+		d.RecordCrash(crashOf(7, "suspect"))
+		d.RecordCrash(crashOf(8, "suspect"))
+		d.RecordCrash(crashOf(9, "once"))
 		for range 4 {
 			d.Check(bad)
 		}
@@ -41,11 +41,11 @@
 		Expect(a.GetEntries()[1].GetRequest().GetStarts()).To(HaveLen(2))
 	})
 
-	It("lift a request at all gateways, and are told where there is none", func() {
-		s := newShelf()
+	It("can lift a request at all gateways, and get an error if it is not held", func() {
+		s := newFakeTopic()
 		gateway := func() *Quarantine {
-			l := NewSuspectTracker("vm", time.Now, quiet)
-			q := &Quarantine{Suspects: l, Persister: NewPersister(s.store(), "t", l, time.Now, quiet)}
+			l := NewSuspectTracker("vm", time.Now, discardLog)
+			q := &Quarantine{Suspects: l, Persister: NewPersister(s.store(), "t", l, time.Now, discardLog)}
 			l.OnHeld = append(l.OnHeld, q.Persist)
 			ctx, stop := context.WithCancel(ctx)
 			ended := make(chan struct{})
@@ -59,19 +59,19 @@
 			})
 			return q
 		}
-		q, far := gateway(), gateway()
+		q, remote := gateway(), gateway()
 		for n := range 3 {
-			q.Suspects.RecordCrash(endOf(n, "bad"))
+			q.Suspects.RecordCrash(crashOf(n, "bad"))
 		}
 		held := func(q *Quarantine) func() bool { return func() bool { return q.Suspects.Check(bad) == Held } }
-		Eventually(held(far)).WithTimeout(3 * time.Second).Should(BeTrue())
-		_, err := far.LiftHeld(ctx, &pb.LiftHeldRequest{Fingerprint: bad.String()})
+		Eventually(held(remote)).WithTimeout(3 * time.Second).Should(BeTrue())
+		_, err := remote.LiftHeld(ctx, &pb.LiftHeldRequest{Fingerprint: bad.String()})
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(held(q)).Should(BeFalse())
-		Consistently(held(far)).WithTimeout(200 * time.Millisecond).Should(BeFalse())
-		_, err = far.LiftHeld(ctx, &pb.LiftHeldRequest{Fingerprint: bad.String()})
+		Consistently(held(remote)).WithTimeout(200 * time.Millisecond).Should(BeFalse())
+		_, err = remote.LiftHeld(ctx, &pb.LiftHeldRequest{Fingerprint: bad.String()})
 		Expect(connect.CodeOf(err)).To(Equal(connect.CodeNotFound))
-		_, err = far.LiftHeld(ctx, &pb.LiftHeldRequest{Fingerprint: "none"})
+		_, err = remote.LiftHeld(ctx, &pb.LiftHeldRequest{Fingerprint: "none"})
 		Expect(connect.CodeOf(err)).To(Equal(connect.CodeInvalidArgument))
 	})
 })
--- /dev/null
+++ b/internal/quarantine/simulation_test.go
@@ -0,0 +1,354 @@
+package quarantine
+
+import (
+	"container/heap"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"github.com/springrail/springrail/internal/id"
+)
+
+// These simulations run the suspect trackers of many gateways in virtual time, with upstreams that crash. Queueing
+// times, run times and message delays are those of typical deployments.
+
+const (
+	newsDelay   = 10 * time.Millisecond
+	restartTime = 5 * time.Second
+	crashDelay  = 80 * time.Millisecond
+	lossRate    = 0.03
+)
+
+// simulationConfig configures a simulation.
+type simulationConfig struct {
+	gateways, upstreams int
+	// proper is the rate of harmless requests per second, of which hotShare is one request that many callers send.
+	proper   float64
+	hotShare float64
+	// bad is the number of requests that crash upstreams, each repeated badRate times a second.
+	bad     int
+	badRate float64
+	// crashRate is the rate per second of upstream crashes that no request causes.
+	crashRate float64
+	duration  time.Duration
+	// shared makes the gateways exchange their crashes.
+	shared bool
+}
+
+// event is a function to be called at a time.
+type event struct {
+	at       time.Duration
+	sequence int
+	do       func()
+}
+
+type events []event
+
+func (e events) Len() int { return len(e) }
+func (e events) Less(i, j int) bool {
+	return e[i].at < e[j].at || (e[i].at == e[j].at && e[i].sequence < e[j].sequence)
+}
+func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *events) Pop() any {
+	l := *e
+	x := l[len(l)-1]
+	*e = l[:len(l)-1]
+	return x
+}
+
+// simulatedRequest is a request of a caller.
+type simulatedRequest struct {
+	name    string
+	bad     bool
+	gateway int
+	// sends counts the upstreams that the caller's attempt was sent to, and retried is true once the caller has retried.
+	sends          int
+	attempt        CallerAttempt
+	alone, retried bool
+}
+
+// fakeUpstream is an upstream; restarts identifies its incarnation.
+type fakeUpstream struct {
+	restarts int
+	up       bool
+	requests map[*simulatedRequest]bool
+}
+
+// simulation is the state of one simulation.
+type simulation struct {
+	simulationConfig
+	random        *rand.Rand
+	now           time.Duration
+	queue         events
+	sequence      int
+	trackers      []*SuspectTracker
+	fakeUpstreams []*fakeUpstream
+	inFlight      []map[string]int
+	// sends and crashTimes are the times of the sends of, and the crashes under, each bad request.
+	sends, crashTimes map[string][]time.Duration
+	// proper counts the harmless requests, and refused the refusals of such requests.
+	proper, refused int
+}
+
+func simulate(m simulationConfig, seed uint64) *simulation {
+	t := &simulation{simulationConfig: m, random: rand.New(rand.NewPCG(seed, 1)), sends: map[string][]time.Duration{}, crashTimes: map[string][]time.Duration{}}
+	base := time.Unix(1000, 0)
+	for range m.gateways {
+		l := NewSuspectTracker("vm", func() time.Time { return base.Add(t.now) }, discardLog)
+		l.after = func(d time.Duration, f func()) { t.schedule(d, f) }
+		l.OnServed = func(f Fingerprint) {
+			for _, o := range t.trackers {
+				t.schedule(newsDelay, func() { o.ClearSuspicion(f) })
+			}
+		}
+		t.trackers = append(t.trackers, l)
+		t.inFlight = append(t.inFlight, map[string]int{})
+	}
+	for range m.upstreams {
+		t.fakeUpstreams = append(t.fakeUpstreams, &fakeUpstream{up: true, requests: map[*simulatedRequest]bool{}})
+	}
+	t.arrivals()
+	for t.queue.Len() > 0 {
+		e := heap.Pop(&t.queue).(event)
+		if e.at > m.duration {
+			break
+		}
+		t.now = e.at
+		e.do()
+	}
+	return t
+}
+
+func (t *simulation) schedule(d time.Duration, f func()) {
+	t.sequence++
+	heap.Push(&t.queue, event{at: t.now + d, sequence: t.sequence, do: f})
+}
+
+// scheduleAtRate schedules a function at random times with the given rate.
+func (t *simulation) scheduleAtRate(perSecond float64, f func(n int)) {
+	at := time.Duration(0)
+	for n := 0; perSecond > 0; n++ {
+		at += time.Duration(t.random.ExpFloat64() / perSecond * float64(time.Second))
+		if at > t.duration {
+			return
+		}
+		t.schedule(at, func() { f(n) })
+	}
+}
+
+func (t *simulation) arrivals() {
+	t.scheduleAtRate(t.simulationConfig.proper, func(n int) {
+		r := &simulatedRequest{name: fmt.Sprint("proper", n)}
+		if t.random.Float64() < t.hotShare {
+			r.name = "hot"
+		}
+		t.proper++
+		t.arrive(r)
+	})
+	for b := range t.bad {
+		t.scheduleAtRate(t.badRate, func(int) { t.arrive(&simulatedRequest{name: fmt.Sprint("bad", b), bad: true}) })
+	}
+	t.scheduleAtRate(t.crashRate, func(int) { t.crash(t.fakeUpstreams[t.random.IntN(len(t.fakeUpstreams))]) })
+}
+
+// arrive simulates a request of a caller at one of the gateways.
+func (t *simulation) arrive(r *simulatedRequest) {
+	r.gateway = t.random.IntN(t.gateways)
+	v := t.trackers[r.gateway].Check(request(r.name))
+	if v == Held || v == Waits || (v == Alone && t.inFlight[r.gateway][r.name] > 0) {
+		if !r.bad {
+			t.refused++
+		}
+		return
+	}
+	t.sequence++
+	r.attempt, r.alone = CallerAttempt(t.sequence), v == Alone
+	t.inFlight[r.gateway][r.name]++
+	t.send(r)
+}
+
+// send sends a request to a random upstream.
+func (t *simulation) send(r *simulatedRequest) {
+	var up []*fakeUpstream
+	for _, p := range t.fakeUpstreams {
+		if p.up {
+			up = append(up, p)
+		}
+	}
+	if len(up) == 0 {
+		t.inFlight[r.gateway][r.name]--
+		return
+	}
+	p := up[t.random.IntN(len(up))]
+	incarnation := p.restarts
+	p.requests[r] = true
+	r.sends++
+	if r.bad {
+		t.sends[r.name] = append(t.sends[r.name], t.now)
+	}
+	wait := time.Duration((0.05 + 0.45*t.random.Float64()) * float64(time.Second))
+	if r.bad {
+		t.schedule(wait+crashDelay, func() {
+			if p.restarts == incarnation && p.requests[r] {
+				t.crashTimes[r.name] = append(t.crashTimes[r.name], t.now)
+				t.crash(p)
+			}
+		})
+		return
+	}
+	t.schedule(wait+time.Duration(t.random.ExpFloat64()*1.5*float64(time.Second)), func() {
+		if p.restarts == incarnation && p.requests[r] {
+			delete(p.requests, r)
+			t.inFlight[r.gateway][r.name]--
+			t.trackers[r.gateway].Served(request(r.name))
+		}
+	})
+}
+
+// crash ends an upstream process with all its requests.
+func (t *simulation) crash(p *fakeUpstream) {
+	if !p.up {
+		return
+	}
+	seen := map[int]*Crash{}
+	s := Incarnation{Instance: id.Instance(fmt.Sprintf("%p-%d", p, p.restarts))}
+	for r := range p.requests {
+		if seen[r.gateway] == nil {
+			seen[r.gateway] = &Crash{Incarnation: s}
+		}
+		seen[r.gateway].Requests = append(seen[r.gateway].Requests, InFlightRequest{
+			Fingerprint: request(r.name), Organisation: "gym", Attempt: r.attempt, Alone: r.alone,
+		})
+		t.retry(r)
+	}
+	p.up, p.requests = false, map[*simulatedRequest]bool{}
+	p.restarts++
+	t.schedule(restartTime, func() { p.up = true })
+	for g, e := range seen {
+		t.schedule(gatherTime, func() { t.trackers[g].RecordCrash(*e) })
+		for o, l := range t.trackers {
+			// Three stagers forward the news, so it is rarely lost.
+			if lost := t.random.Float64() < lossRate*lossRate; o != g && t.shared && !lost {
+				t.schedule(gatherTime+newsDelay, func() { l.RecordCrash(*e) })
+			}
+		}
+	}
+}
+
+// retry resends a request that broke off at another upstream, or simulates its caller's retry once.
+func (t *simulation) retry(r *simulatedRequest) {
+	v := t.trackers[r.gateway].Check(request(r.name))
+	if r.sends < 2 && v == Pass {
+		t.schedule(time.Millisecond, func() { t.send(r) })
+		return
+	}
+	t.inFlight[r.gateway][r.name]--
+	if !r.retried && !r.bad {
+		r.retried, r.sends = true, 0
+		t.schedule(200*time.Millisecond, func() { t.arrive(r) })
+	}
+}
+
+// maxLateSends counts the sends of a bad request more than 3 s after the third crash under it, and returns the maximum over the
+// bad requests.
+func (t *simulation) maxLateSends() (highest int) {
+	for name, crashes := range t.crashTimes {
+		n := 0
+		for _, at := range t.sends[name] {
+			if len(crashes) >= 3 && at > crashes[2]+3*time.Second {
+				n++
+			}
+		}
+		highest = max(highest, n)
+	}
+	return highest
+}
+
+// crashCount counts the crashes under bad requests.
+func (t *simulation) crashCount() (n int) {
+	for _, l := range t.crashTimes {
+		n += len(l)
+	}
+	return n
+}
+
+// heldProper counts the harmless requests that some gateway holds.
+func (t *simulation) heldProper() (n int) {
+	held := map[Fingerprint]bool{}
+	for _, l := range t.trackers {
+		for _, h := range l.HeldRequests() {
+			held[h.Fingerprint] = true
+		}
+	}
+	for b := range t.bad {
+		delete(held, request(fmt.Sprint("bad", b)))
+	}
+	return len(held)
+}
+
+// typical returns a deployment of 7 gateways and 20 upstreams.
+func typical() simulationConfig {
+	return simulationConfig{gateways: 7, upstreams: 20, proper: 100, duration: 30 * time.Second, shared: true}
+}
+
+var _ = Describe("simulations of many gateways in virtual time", func() {
+	It("hold no harmless request in 200 runs with random crashes and a request that many callers send", func() {
+		held, proper, refused := 0, 0, 0
+		for seed := range uint64(200) {
+			m := typical()
+			m.crashRate, m.hotShare = 0.005*float64(seed), 0.2
+			t := simulate(m, seed)
+			held += t.heldProper()
+			proper += t.proper
+			refused += t.refused
+		}
+		AddReportEntry("refused", fmt.Sprint(refused, " of ", proper))
+		Expect(held).To(BeZero())
+		Expect(refused).To(BeNumerically("<", proper/10_000))
+	})
+
+	DescribeTable("stop requests that crash upstreams, among random crashes", func(gateways, upstreams, bad int, badRate float64) {
+		for seed := range uint64(20) {
+			m := typical()
+			m.gateways, m.upstreams, m.bad, m.badRate, m.crashRate, m.hotShare = gateways, upstreams, bad, badRate, 0.1, 0.1
+			t := simulate(m, seed)
+			Expect(t.maxLateSends()).To(BeNumerically("<=", 3), fmt.Sprint("seed ", seed))
+			Expect(t.heldProper()).To(BeZero(), fmt.Sprint("seed ", seed))
+		}
+	},
+		Entry("one request, 2.5 times a second", 7, 20, 1, 2.5),
+		Entry("one request, 10 times a second", 7, 20, 1, 10.0),
+		Entry("one request, every 5 seconds", 7, 20, 1, 0.2),
+		Entry("three requests", 7, 20, 3, 1.0),
+		Entry("many gateways", 60, 150, 2, 5.0),
+	)
+
+	It("crash fewer upstreams if gateways exchange their crashes, and none late", func() {
+		for _, gateways := range []int{7, 40} {
+			crashes := map[bool]int{}
+			for _, shared := range []bool{false, true} {
+				late, refused := 0, 0
+				const seeds = 20
+				for seed := range uint64(seeds) {
+					m := typical()
+					m.gateways, m.upstreams, m.bad, m.badRate, m.crashRate, m.hotShare = gateways, 3*gateways, 1, 2.5, 0.1, 0.1
+					m.shared = shared
+					t := simulate(m, seed)
+					crashes[shared] += t.crashCount()
+					late = max(late, t.maxLateSends())
+					refused += t.refused
+				}
+				AddReportEntry(fmt.Sprint(gateways, " gateways, shared: ", shared),
+					fmt.Sprintf("%.1f crashes, at most %d late sends, %d harmless requests refused", float64(crashes[shared])/seeds, late, refused))
+				if shared {
+					Expect(late).To(BeNumerically("<=", 3))
+				}
+			}
+			Expect(crashes[true]).To(BeNumerically("<", crashes[false]))
+		}
+	})
+})
