--- a/internal/dating/dating.go
+++ b/internal/dating/dating.go
@@ -79,33 +79,33 @@
 	remote := TimeBounds{After: o.After, KnownAt: knownAt, Source: o.Source}
 	local := TimeBounds{After: b.After, KnownAt: knownAt, Source: b.Source}
 	switch {
-	case local.dated() && !local.contradicted():
+	case local.hasDate() && !local.contradicted():
 		if remote.contradicted() {
 			return local, Refused
 		}
 		return local, Kept
-	case remote.dated() && !remote.contradicted():
-		if local.dated() {
+	case remote.hasDate() && !remote.contradicted():
+		if local.hasDate() {
 			return remote, Withdrawn
 		}
 		return remote, Taken
-	case local.dated():
+	case local.hasDate():
 		return TimeBounds{KnownAt: knownAt}, Withdrawn
-	case remote.dated():
+	case remote.hasDate():
 		return TimeBounds{KnownAt: knownAt}, Refused
 	default:
 		return TimeBounds{KnownAt: knownAt}, Kept
 	}
 }
 
-// dated reports whether a date is known.
-func (b TimeBounds) dated() bool {
+// hasDate reports whether a date is known.
+func (b TimeBounds) hasDate() bool {
 	return !b.After.IsZero()
 }
 
 // contradicted reports whether some process knew of the event before the date.
 func (b TimeBounds) contradicted() bool {
-	return b.dated() && !b.KnownAt.IsZero() && b.After.After(b.KnownAt)
+	return b.hasDate() && !b.KnownAt.IsZero() && b.After.After(b.KnownAt)
 }
 
 // earliest returns the earlier of two times; zero means none.
--- a/internal/facts/absence.go
+++ b/internal/facts/absence.go
@@ -8,9 +8,9 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// lapseGrace is how long an upstream is kept whose entry expired while the upstream list was unavailable. A live
+// absenceGrace is how long an upstream is kept whose entry expired while the upstream list was unavailable. A live
 // upstream renews its entry within about two seconds.
-const lapseGrace = 2 * time.Second
+const absenceGrace = 2 * time.Second
 
 // AbsenceTracker decides when to remove an upstream that has no entry in the upstream list: at once, or after a grace
 // period if the list was unavailable. It is not safe for concurrent use.
@@ -38,7 +38,7 @@
 
 // NoteListReturned starts the grace period: the list is available again after an outage.
 func (a *AbsenceTracker) NoteListReturned() {
-	a.graceUntil = a.now().Add(lapseGrace)
+	a.graceUntil = a.now().Add(absenceGrace)
 }
 
 // ExtendGrace extends the grace period to that of another process, which may have seen an outage that this one missed.
--- a/internal/quarantine/held.go
+++ b/internal/quarantine/held.go
@@ -21,7 +21,7 @@
 	byOrganisation map[id.Organisation][]Fingerprint
 }
 
-func newHeld() *heldSet {
+func newHeldSet() *heldSet {
 	return &heldSet{entries: map[Fingerprint]*HeldRequest{}, byOrganisation: map[id.Organisation][]Fingerprint{}}
 }
 
--- a/internal/quarantine/served.go
+++ b/internal/quarantine/served.go
@@ -20,7 +20,7 @@
 	oldest int
 }
 
-func newServed(now func() time.Time) *recentlyServed {
+func newRecentlyServed(now func() time.Time) *recentlyServed {
 	return &recentlyServed{now: now, servedAt: map[Fingerprint]time.Time{}}
 }
 
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -290,8 +290,8 @@
 	return len(held)
 }
 
-// typical returns a deployment of 7 gateways and 20 upstreams.
-func typical() simulationConfig {
+// typicalDeployment returns a deployment of 7 gateways and 20 upstreams.
+func typicalDeployment() simulationConfig {
 	return simulationConfig{gateways: 7, upstreams: 20, proper: 100, duration: 30 * time.Second, shared: true}
 }
 
@@ -299,7 +299,7 @@
 	It("hold no harmless request in 200 runs with random crashes and a request that many callers send", func() {
 		held, proper, refused := 0, 0, 0
 		for seed := range uint64(200) {
-			m := typical()
+			m := typicalDeployment()
 			m.crashRate, m.hotShare = 0.005*float64(seed), 0.2
 			t := simulate(m, seed)
 			held += t.heldProper()
@@ -313,7 +313,7 @@
 
 	DescribeTable("stop requests that crash upstreams, among random crashes", func(gateways, upstreams, bad int, badRate float64) {
 		for seed := range uint64(20) {
-			m := typical()
+			m := typicalDeployment()
 			m.gateways, m.upstreams, m.bad, m.badRate, m.crashRate, m.hotShare = gateways, upstreams, bad, badRate, 0.1, 0.1
 			t := simulate(m, seed)
 			Expect(t.maxLateSends()).To(BeNumerically("<=", 3), fmt.Sprint("seed ", seed))
@@ -334,7 +334,7 @@
 				late, refused := 0, 0
 				const seeds = 20
 				for seed := range uint64(seeds) {
-					m := typical()
+					m := typicalDeployment()
 					m.gateways, m.upstreams, m.bad, m.badRate, m.crashRate, m.hotShare = gateways, 3*gateways, 1, 2.5, 0.1, 0.1
 					m.shared = shared
 					t := simulate(m, seed)
--- a/internal/quarantine/suspects.go
+++ b/internal/quarantine/suspects.go
@@ -92,7 +92,7 @@
 	g := &SuspectTracker{
 		vm: vm, now: now, log: l, vars: new(expvar.Map), OnServed: func(Fingerprint) {},
 		after:      func(d time.Duration, f func()) { time.AfterFunc(d, f) },
-		byInstance: map[id.Instance][]*recordedCrash{}, suspects: map[Fingerprint]*suspect{}, held: newHeld(), served: newServed(now),
+		byInstance: map[id.Instance][]*recordedCrash{}, suspects: map[Fingerprint]*suspect{}, held: newHeldSet(), served: newRecentlyServed(now),
 	}
 	g.vars.Set("held", expvar.Func(func() any { return len(g.HeldRequests()) }))
 	return g
--- a/internal/quarantine/suspects_test.go
+++ b/internal/quarantine/suspects_test.go
@@ -243,7 +243,7 @@
 	})
 
 	It("is evicted from the organisation with the most held requests if too many are held", func() {
-		h := newHeld()
+		h := newHeldSet()
 		for n := range maxHeld + 3 {
 			o := id.Organisation(fmt.Sprint("small", n%64))
 			if n < maxHeldPerOrganisation {
@@ -289,14 +289,14 @@
 	It("that is reordered, duplicated or lost holds no request without three crashes, and gateways that exchange their held requests agree", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			var sent []Crash
-			for n := range rapid.IntRange(1, 8).Draw(t, "ends") {
-				names := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 1, 4).Draw(t, "present")
+			for n := range rapid.IntRange(1, 8).Draw(t, "crashes") {
+				names := rapid.SliceOfN(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 1, 4).Draw(t, "in flight")
 				sent = append(sent, crashOf(n, names...))
 			}
 			gateways := []*manualTracker{newManualTracker(), newManualTracker(), newManualTracker()}
 			for _, g := range gateways {
 				received := map[Fingerprint]map[id.Instance]bool{}
-				for _, n := range rapid.SliceOfN(rapid.IntRange(0, len(sent)-1), 0, 24).Draw(t, "heard") {
+				for _, n := range rapid.SliceOfN(rapid.IntRange(0, len(sent)-1), 0, 24).Draw(t, "received") {
 					g.RecordCrash(sent[n])
 					for _, p := range sent[n].Requests {
 						if received[p.Fingerprint] == nil {
@@ -304,7 +304,7 @@
 						}
 						received[p.Fingerprint][sent[n].Incarnation.Instance] = true
 					}
-					if rapid.Bool().Draw(t, "settles") {
+					if rapid.Bool().Draw(t, "settle") {
 						g.runTimers()
 					}
 				}
