--- a/internal/placement/budget.go
+++ b/internal/placement/budget.go
@@ -8,44 +8,47 @@
 )
 
 const (
-	// budgetParts is the number of parts that a window is counted in. Any span of the window's length touches one part
-	// more, and has at least one part less whole: repeats are counted over the former, requests over the latter.
-	budgetParts = 10
-	keptParts   = budgetParts + 1
-	// budgetShare is the part of the fleet's allowance that is used: requests are spread unevenly over gateways, and
-	// the number of gateways is known only with a lag.
-	budgetShare = 0.7
+	// budgetBuckets is the number of buckets that a window is counted in. Any span of the window's length touches one
+	// bucket more, and covers at least one bucket less in full: retries are counted over the former, requests over the
+	// latter, so the budget is never exceeded in any span.
+	budgetBuckets = 10
+	keptBuckets   = budgetBuckets + 1
+	// budgetUtilisation is the share of the fleet's allowance that is used: requests are spread unevenly over gateways,
+	// and the number of gateways is known only with a lag.
+	budgetUtilisation = 0.7
 )
 
-// RetryBudgetRule is what all gateways together may send beyond the first send of each request.
+// RetryBudgetRule is the fleet-wide limit on retries: what all gateways together may send beyond the first attempt of
+// each request.
 type RetryBudgetRule struct {
-	// Ratio is the allowance for each request in the window, and Slack what is allowed on top.
+	// Ratio is the number of retries allowed per request in the window, and Slack the number allowed in addition.
 	Ratio, Slack float64
 	Window       time.Duration
 }
 
-// RetryBudget keeps this process within its part of the fleet's allowance without a message: the ratio counts its own
-// requests only, and the slack is shared equally by the gateways known.
+// RetryBudget keeps this process within its share of the fleet's retry allowance without coordination: the ratio counts
+// only its own requests, and the slack is divided equally by the number of known gateways.
 type RetryBudget struct {
 	rule     RetryBudgetRule
 	gateways func() int
 	now      func() time.Time
-	// start is the zero of the parts: differences of times follow the steady clock, whatever the time of day does.
-	start time.Time
-	mu    sync.Mutex
-	pools map[id.Pool]*window
+	// origin is the time from which buckets are numbered. Differences to it use the monotonic clock, so that changes of
+	// the wall clock have no effect.
+	origin time.Time
+	mu     sync.Mutex
+	pools  map[id.Pool]*window
 }
 
-// window counts requests and repeats by parts of the window.
+// window counts requests and retries of one pool in a ring of buckets.
 type window struct {
-	newest   int64
-	requests [keptParts]int
-	repeats  [keptParts]int
+	newestBucket int64
+	requests     [keptBuckets]int
+	retries      [keptBuckets]int
 }
 
-// NewRetryBudget makes a budget; gateways returns how many processes share it.
+// NewRetryBudget returns an unused retry budget; gateways returns how many processes share the rule.
 func NewRetryBudget(r RetryBudgetRule, gateways func() int, now func() time.Time) *RetryBudget {
-	return &RetryBudget{rule: r, gateways: gateways, now: now, start: now(), pools: map[id.Pool]*window{}}
+	return &RetryBudget{rule: r, gateways: gateways, now: now, origin: now(), pools: map[id.Pool]*window{}}
 }
 
 func (b *RetryBudget) window(p id.Pool) (*window, int) {
@@ -54,16 +57,16 @@
 		w = &window{}
 		b.pools[p] = w
 	}
-	part := keptParts + int64(b.now().Sub(b.start)/(b.rule.Window/budgetParts))
-	for w.newest < part {
-		w.newest = max(w.newest+1, part-keptParts)
-		i := w.newest % keptParts
-		w.requests[i], w.repeats[i] = 0, 0
+	bucket := keptBuckets + int64(b.now().Sub(b.origin)/(b.rule.Window/budgetBuckets))
+	for w.newestBucket < bucket {
+		w.newestBucket = max(w.newestBucket+1, bucket-keptBuckets)
+		i := w.newestBucket % keptBuckets
+		w.requests[i], w.retries[i] = 0, 0
 	}
-	return w, int(part % keptParts)
+	return w, int(bucket % keptBuckets)
 }
 
-// RecordRequest notes a request for a pool.
+// RecordRequest counts a first attempt for a pool.
 func (b *RetryBudget) RecordRequest(p id.Pool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,34 +74,34 @@
 	w.requests[i]++
 }
 
-// TakeRetry allows a repeated send, or not.
+// TakeRetry consumes one retry for a pool, or returns false if the budget is exhausted.
 func (b *RetryBudget) TakeRetry(p id.Pool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w, i := b.window(p)
-	if !b.left(w, i) {
+	if !b.hasRetry(w, i) {
 		return false
 	}
-	w.repeats[i]++
+	w.retries[i]++
 	return true
 }
 
-// RetryAvailable says whether a repeated send would be allowed now.
+// RetryAvailable reports whether the budget would allow a retry for a pool now.
 func (b *RetryBudget) RetryAvailable(p id.Pool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.left(b.window(p))
+	return b.hasRetry(b.window(p))
 }
 
-func (b *RetryBudget) left(w *window, i int) bool {
-	requests, repeats := 0, 0
-	for back := range keptParts {
-		k := (i + keptParts - back) % keptParts
-		repeats += w.repeats[k]
-		if back < budgetParts-1 {
+func (b *RetryBudget) hasRetry(w *window, i int) bool {
+	requests, retries := 0, 0
+	for age := range keptBuckets {
+		k := (i + keptBuckets - age) % keptBuckets
+		retries += w.retries[k]
+		if age < budgetBuckets-1 {
 			requests += w.requests[k]
 		}
 	}
 	slack := b.rule.Slack / float64(max(1, b.gateways()))
-	return float64(repeats+1) <= budgetShare*(b.rule.Ratio*float64(requests)+slack)
+	return float64(retries+1) <= budgetUtilisation*(b.rule.Ratio*float64(requests)+slack)
 }
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -8,70 +8,73 @@
 )
 
 const (
-	// farCost is what a send beyond the own failure domain is counted as: two ways through the network and the price
-	// of the bytes, which at the users' prices is near a hundredth of a request's worth.
-	farCost = 25 * time.Millisecond
-	// jitter is the share of a cost that is drawn at random, so that several processes with the same view do not all
-	// choose the same one of equals (BenchmarkChoiceOnOldViews); more of it sends requests where others would begin sooner.
-	jitter = 0.02
-	// unknownCost is added where an upstream's own figures are missing: they are a fifth of a second old at the most
-	// while its stager lives.
-	unknownCost = 60 * time.Millisecond
+	// crossDomainCost is added to the cost of an upstream in another failure domain: the network round trip and the
+	// price of the bytes, which at the users' prices is close to a hundredth of a request's worth.
+	crossDomainCost = 25 * time.Millisecond
+	// costJitter is the random share of a cost, so that several processes with the same view do not all choose the same
+	// one of equal upstreams. A larger one sends requests to upstreams where they begin later.
+	costJitter = 0.02
+	// unreportedCost is added to the cost of an upstream without a fresh report. Reports are at most a fifth of a second
+	// old while its stager runs.
+	unreportedCost = 60 * time.Millisecond
 )
 
-// Choice is an upstream with the time until the first event that it was chosen for.
+// Choice is a selected upstream with its predicted time to the first event.
 type Choice struct {
 	Candidate
 	Predicted time.Duration
-	// HasCapacity says that the upstream's engine has time for the request beside what else is expected to be sent.
+	// HasCapacity is true if the upstream's engine can serve the request in time along with the other requests expected
+	// there.
 	HasCapacity bool
 }
 
-// Choose returns an upstream for a request among those not tried; suspects only where nothing else is left. See Forecast
-// for how the upstreams' figures are carried on to the present.
-func Choose(l []Candidate, tried map[id.Instance]bool, w *Forecast, r *rand.Rand) (Choice, bool) {
-	y := layouts.Get().(*layout)
-	defer layouts.Put(y)
+// Choose selects an upstream for a request among those not tried yet; suspects are used only if there is no other.
+// Forecast describes how reported loads are projected to the present.
+func Choose(candidates []Candidate, tried map[id.Instance]bool, forecast *Forecast, r *rand.Rand) (Choice, bool) {
+	y := assignments.Get().(*assignment)
+	defer assignments.Put(y)
 	for _, suspects := range []bool{false, true} {
-		if y.fill(l, tried, w, r, suspects); len(y.options) > 0 {
-			return y.draw(r), true
+		if y.prepare(candidates, tried, forecast, r, suspects); len(y.options) > 0 {
+			return y.choose(r), true
 		}
 	}
 	return Choice{}, false
 }
 
-// usualWork is the time that a plain upstream is taken to need for a request; only ratios between upstreams matter.
-const usualWork = 60 * time.Millisecond
+// plainServiceTime is the assumed time per request of an upstream that is not an engine; only ratios between upstreams
+// matter.
+const plainServiceTime = 60 * time.Millisecond
 
-// PredictPlainService predicts the answer of an upstream that is no engine from this process's own requests there.
+// PredictPlainService predicts the response time of an upstream that is not an engine from this process's requests in
+// flight there.
 func PredictPlainService(c *Candidate) time.Duration {
-	return usualWork * time.Duration(1+c.InFlight)
+	return plainServiceTime * time.Duration(1+c.InFlight)
 }
 
 const (
-	// aimShare is the part of the aim that a prediction may fill: what is left covers the way back.
+	// aimShare is the share of the latency target that a prediction may use; the rest covers the network path back to
+	// the caller.
 	aimShare = 0.9
 )
 
-// InTime says whether a predicted first event keeps the aim after what has passed already.
-func InTime(predicted, passed, aim time.Duration) bool {
-	return float64(predicted+passed) <= aimShare*float64(aim)
+// InTime reports whether a predicted first event meets the latency target, given the time that has already elapsed.
+func InTime(predicted, elapsed, aim time.Duration) bool {
+	return float64(predicted+elapsed) <= aimShare*float64(aim)
 }
 
 const (
-	// leastRetry is the shortest time after which a refused caller is asked to come back: the queue of an upstream moves by
-	// three requests in it.
-	leastRetry = 300 * time.Millisecond
-	// retryShare is the part of the time that they have left that callers heed.
-	retryShare = 1.0 / 3
-	// NoUpstreamRetryAfter is when a caller may come back where no upstream is there: an empty one is filled in about 3 s.
+	// minRetryAfter is the shortest Retry-After of a refusal: an upstream's queue advances by three requests in it.
+	minRetryAfter = 300 * time.Millisecond
+	// maxRetryAfterShare is the largest share of a caller's remaining patience that it accepts as Retry-After.
+	maxRetryAfterShare = 1.0 / 3
+	// NoUpstreamRetryAfter is the Retry-After where a pool has no upstream: a replacement takes about 3 s to load.
 	NoUpstreamRetryAfter = 3 * time.Second
 )
 
-// RetryAfter is when there is expected to be room again, within what a caller heeds that has a time left, and spread so that
-// callers do not come back at once.
-func RetryAfter(room, left time.Duration, r *rand.Rand) time.Duration {
-	most := max(leastRetry, time.Duration(retryShare*float64(left)))
-	d := min(max(room, leastRetry), most)
-	return min(d+time.Duration(r.Float64()*float64(leastRetry)), most)
+// RetryAfter returns the Retry-After of a refusal: the time until capacity is expected, bounded by what a caller with
+// the given remaining patience accepts, and jittered so that callers do not return all at once.
+func RetryAfter(capacityIn, remaining time.Duration, r *rand.Rand) time.Duration {
+	longest := max(minRetryAfter, time.Duration(maxRetryAfterShare*float64(remaining)))
+	d := min(max(capacityIn, minRetryAfter), longest)
+	return min(d+time.Duration(r.Float64()*float64(minRetryAfter)), longest)
 }
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -6,40 +6,40 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// OfferedLoad is what callers bring, in requests a second.
+// OfferedLoad is the rate of incoming requests, in requests a second.
 type OfferedLoad struct {
-	// OnTime can still be served in time, Late can't.
+	// OnTime requests can still be served within the latency target, Late ones can't.
 	OnTime, Late float64
 }
 
-// Demand is what callers bring to the gateways of each failure domain for a pool.
+// Demand is the load offered to the gateways of each failure domain for a pool.
 type Demand map[id.Domain]OfferedLoad
 
-// MergeMax takes the larger of each figure for a failure domain.
-func (d Demand) MergeMax(n id.Domain, o OfferedLoad) {
-	old := d[n]
-	d[n] = OfferedLoad{OnTime: max(old.OnTime, o.OnTime), Late: max(old.Late, o.Late)}
+// MergeMax raises a failure domain's rates to the given ones where those are larger.
+func (d Demand) MergeMax(domain id.Domain, load OfferedLoad) {
+	old := d[domain]
+	d[domain] = OfferedLoad{OnTime: max(old.OnTime, load.OnTime), Late: max(old.Late, load.Late)}
 }
 
-// DemandMeter follows what callers bring to this process.
+// DemandMeter measures the load offered to this process.
 type DemandMeter struct {
-	// OnTime are requests that can still be served in time, Late those that can't.
+	// OnTime counts requests that can still be served within the latency target, Late those that can't.
 	OnTime, Late *RateMeter
-	// CrossDomain are those of them that were sent to another failure domain.
+	// CrossDomain counts requests of both kinds that were sent to another failure domain.
 	CrossDomain *RateMeter
 }
 
-// NewDemandMeter makes an empty record.
+// NewDemandMeter returns a meter without requests.
 func NewDemandMeter(now func() time.Time) *DemandMeter {
 	return &DemandMeter{OnTime: NewRateMeter(now), Late: NewRateMeter(now), CrossDomain: NewRateMeter(now)}
 }
 
-// Total is the present rate of all requests.
+// Total returns the current rate of all requests over all pools.
 func (o *DemandMeter) Total() float64 {
 	return o.OnTime.Total() + o.Late.Total()
 }
 
-// Record notes a request.
+// Record counts a request for a pool.
 func (o *DemandMeter) Record(p id.Pool, late bool) {
 	if late {
 		o.Late.Record(p)
--- a/internal/placement/outlook_test.go
+++ b/internal/placement/forecast_test.go
@@ -13,7 +13,7 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// fleetOf makes upstreams of one failure domain with a number of requests at each.
+// fleetOf returns n upstreams of one failure domain with a number of requests at each.
 func fleetOf(n, load int) []Candidate {
 	var l []Candidate
 	for i := range n {
@@ -25,8 +25,8 @@
 	return l
 }
 
-// outlookOf is the outlook of a usual request against an aim of 300 ms, 200 ms between two reports.
-func outlookOf(d Demand) *Forecast {
+// forecastOf returns the forecast for a usual request with a latency target of 300 ms and 200 ms between reports.
+func forecastOf(d Demand) *Forecast {
 	m := NewLatencyModel(engine())
 	return &Forecast{
 		PredictFirstEvent: func(c *Candidate) time.Duration { return m.FirstEvent(c, m.engine.UsualPrompt) },
@@ -35,10 +35,10 @@
 	}
 }
 
-// letIn is the share of requests for which a choice finds room.
-func letIn(l []Candidate, w *Forecast) float64 {
+// admittedShare is the share of requests for which Choose finds capacity.
+func admittedShare(l []Candidate, w *Forecast) float64 {
 	const tries = 2000
-	r := seeded()
+	r := seededRandom()
 	n := 0
 	for range tries {
 		if c, _ := Choose(l, nil, w, r); c.HasCapacity {
@@ -48,13 +48,13 @@
 	return float64(n) / tries
 }
 
-var _ = Describe("the outlook", func() {
-	It("spreads what all gateways send on one view, where each taking the best would send all to one upstream", func() {
+var _ = Describe("the forecast", func() {
+	It("spreads the requests of gateways with the same reports, which would otherwise all choose one upstream", func() {
 		l := fleetOf(10, 24)
 		l[3].Running, l[3].Waiting = 2, 0
-		most := func(w *Forecast) int {
+		maxSent := func(w *Forecast) int {
 			sent := map[id.Instance]int{}
-			r := seeded()
+			r := seededRandom()
 			for range 20 {
 				c, _ := Choose(l, nil, w, r)
 				sent[c.Instance]++
@@ -65,40 +65,40 @@
 			}
 			return n
 		}
-		Expect(most(outlookOf(Demand{}))).To(Equal(20))
-		Expect(most(outlookOf(Demand{"d": {OnTime: 300}}))).To(BeNumerically("<=", 10))
+		Expect(maxSent(forecastOf(Demand{}))).To(Equal(20))
+		Expect(maxSent(forecastOf(Demand{"d": {OnTime: 300}}))).To(BeNumerically("<=", 10))
 	})
 
-	It("lets in all while there is room, and of what is too much the same number whatever is offered", func() {
-		Expect(letIn(fleetOf(10, 4), outlookOf(Demand{"d": {OnTime: 90}}))).To(Equal(1.0))
+	It("admits everything below capacity, and a constant rate under any overload", func() {
+		Expect(admittedShare(fleetOf(10, 4), forecastOf(Demand{"d": {OnTime: 90}}))).To(Equal(1.0))
 		full := fleetOf(10, 17)
-		let := func(perSecond float64) float64 {
-			return perSecond * letIn(full, outlookOf(Demand{"d": {OnTime: perSecond}}))
+		admittedPerSecond := func(perSecond float64) float64 {
+			return perSecond * admittedShare(full, forecastOf(Demand{"d": {OnTime: perSecond}}))
 		}
-		Expect(let(300)).To(BeNumerically(">", 30))
-		Expect(let(600)).To(BeNumerically("~", let(300), 0.2*let(300)))
+		Expect(admittedPerSecond(300)).To(BeNumerically(">", 30))
+		Expect(admittedPerSecond(600)).To(BeNumerically("~", admittedPerSecond(300), 0.2*admittedPerSecond(300)))
 	})
 
-	It("lets callers that can still be served in time go first, and late ones into what is left", func() {
+	It("gives on-time requests precedence, and the remaining capacity to late ones", func() {
 		full := fleetOf(10, 17)
-		late := outlookOf(Demand{"d": {OnTime: 300, Late: 100}})
+		late := forecastOf(Demand{"d": {OnTime: 300, Late: 100}})
 		late.Late = true
-		Expect(letIn(full, late)).To(BeZero())
-		spare := outlookOf(Demand{"d": {OnTime: 20, Late: 20}})
-		spare.Late = true
-		Expect(letIn(fleetOf(10, 8), spare)).To(Equal(1.0))
+		Expect(admittedShare(full, late)).To(BeZero())
+		lateWithCapacity := forecastOf(Demand{"d": {OnTime: 20, Late: 20}})
+		lateWithCapacity.Late = true
+		Expect(admittedShare(fleetOf(10, 8), lateWithCapacity)).To(Equal(1.0))
 	})
 
-	It("leaves the upstreams of other failure domains to the gateways there, and shares what one has to spare", func() {
+	It("prefers local upstreams, and divides the spare capacity of another failure domain", func() {
 		l := fleetOf(9, 8)
 		for i := range l {
 			l[i].Domain = id.Domain(fmt.Sprint("d", i/3))
 		}
 		sent := func(d Demand) map[id.Domain]int {
 			n := map[id.Domain]int{}
-			r := seeded()
+			r := seededRandom()
 			for range 300 {
-				w := outlookOf(d)
+				w := forecastOf(d)
 				w.Domain = "d0"
 				c, _ := Choose(l, nil, w, r)
 				n[c.Domain]++
@@ -111,15 +111,15 @@
 		Expect(idle["d1"]).To(BeNumerically("<", 15))
 	})
 
-	It("stands any figures that others send", func() {
+	It("tolerates invalid rates from other processes", func() {
 		for _, v := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -5, 1e300} {
-			c, ok := Choose(fleetOf(3, 2), nil, outlookOf(Demand{"d": {OnTime: v, Late: v}, "e": {OnTime: v}}), seeded())
+			c, ok := Choose(fleetOf(3, 2), nil, forecastOf(Demand{"d": {OnTime: v, Late: v}, "e": {OnTime: v}}), seededRandom())
 			Expect(ok).To(BeTrue())
 			Expect(c.Instance).NotTo(BeEmpty())
 		}
 	})
 
-	It("never makes more work of an upstream than it had, nor less than none", func() {
+	It("never raises an upstream's load as time advances, nor makes it negative", func() {
 		m := NewLatencyModel(engine())
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			c := Candidate{
@@ -136,7 +136,7 @@
 })
 
 var _ = Describe("the rate of requests", func() {
-	It("is right soon after a start, steady under a steady load, and fades", func() {
+	It("is accurate soon after the start, steady under a steady load, and decays", func() {
 		now := time.Unix(0, 0)
 		r := NewRateMeter(func() time.Time { return now })
 		r.PerSecond("p")
@@ -147,13 +147,13 @@
 				Expect(r.PerSecond("p")).To(BeNumerically("~", 50, 5))
 			}
 		}
-		now = now.Add(5 * rateMemory)
+		now = now.Add(5 * rateTimeConstant)
 		Expect(r.PerSecond("p")).To(BeNumerically("<", 1))
 	})
 })
 
-var _ = Describe("the time that a caller has lost", func() {
-	It("is what its patience lacks of the longest on its route, and nothing for a caller that says none", func() {
+var _ = Describe("the time that a caller lost in earlier attempts", func() {
+	It("is the difference to the longest patience on its route, and 0 for a caller that states none", func() {
 		now := time.Unix(0, 0)
 		p := NewPatienceTracker(func() time.Time { return now })
 		Expect(p.TimeLost("r", 6*time.Second)).To(BeZero())
@@ -173,22 +173,22 @@
 	})
 })
 
-var _ = Describe("a layout over many upstreams", func() {
-	// cheapest looks at each upstream, as a heap is to do without.
-	cheapest := func(y *layout, d id.Domain) float64 {
-		least := math.Inf(1)
+var _ = Describe("an assignment over many upstreams", func() {
+	// lowestCost compares all upstreams, as a reference for the heap.
+	lowestCost := func(y *assignment, d id.Domain) float64 {
+		lowest := math.Inf(1)
 		for i := range y.options {
 			o := &y.options[i]
 			cost := o.cost
 			if o.Domain != d {
-				cost += float64(farCost)
+				cost += float64(crossDomainCost)
 			}
-			least = min(least, cost)
+			lowest = min(lowest, cost)
 		}
-		return least
+		return lowest
 	}
 
-	It("lays each request where one more costs least, whatever has been laid before", func() {
+	It("assigns each request to the upstream where it costs least, after any earlier ones", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			var l []Candidate
 			for n := range rapid.IntRange(1, 40).Draw(t, "upstreams") {
@@ -201,21 +201,21 @@
 				PredictFirstEvent: func(c *Candidate) time.Duration { return time.Duration(1+c.load()) * 10 * time.Millisecond },
 				UsualPrompt:       100, Domain: "0",
 			}
-			y := layouts.Get().(*layout)
-			defer layouts.Put(y)
-			y.fill(l, nil, w, rand.New(rand.NewPCG(1, 2)), false)
+			y := assignments.Get().(*assignment)
+			defer assignments.Put(y)
+			y.prepare(l, nil, w, rand.New(rand.NewPCG(1, 2)), false)
 			for range 60 {
 				d := id.Domain(fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "of")))
-				want := cheapest(y, d)
-				h := y.cheapest(d)
+				want := lowestCost(y, d)
+				h := y.cheapestDomain(d)
 				got := h.heap[0].cost
 				if h.domain != d {
-					got += float64(farCost)
+					got += float64(crossDomainCost)
 				}
 				if got != want {
-					t.Fatalf("cost %v, the least is %v", got, want)
+					t.Fatalf("cost %v, but the lowest is %v", got, want)
 				}
-				y.put(d, rapid.IntRange(1, 3).Draw(t, "requests"), false)
+				y.assignBatch(d, rapid.IntRange(1, 3).Draw(t, "requests"), false)
 			}
 		})
 	})
--- a/internal/placement/herd_test.go
+++ b/internal/placement/herd_test.go
@@ -10,64 +10,66 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// herd plays gateways that choose among engines on views of a certain age, in steps of a millisecond. Engines read prompts
-// one after the other and run up to their slots; arrivals, prompts and answers are drawn from a seed.
+// herd simulates gateways that choose among engines by reports of a certain age, in steps of a millisecond. Engines run
+// requests up to their slots and queue the rest in arrival order; arrivals, durations and the gateway of each request
+// are drawn from a seed.
 type herd struct {
 	gateways, upstreams int
-	// between is the time between two reports of an upstream; load is the part of the engines' capacity that is offered.
-	between time.Duration
-	load    float64
-	// knowing gives gateways the engines' present state, spreading what all gateways send, and few a look at three engines
-	// drawn at random only.
-	knowing, spreading, few bool
+	// reportInterval is the time between two reports of an upstream; load is the share of the engines' capacity that is
+	// offered.
+	reportInterval time.Duration
+	load           float64
+	// fullKnowledge shows gateways the engines' current state, spreading makes them account for what all gateways send,
+	// and sampling shows them three engines drawn at random.
+	fullKnowledge, spreading, sampling bool
 }
 
 const (
-	herdStep    = time.Millisecond
-	herdFor     = 20 * time.Second
-	herdWarmUp  = 4 * time.Second
-	herdService = time.Second
-	herdSlots   = 16
+	herdStep     = time.Millisecond
+	herdDuration = 20 * time.Second
+	herdWarmUp   = 4 * time.Second
+	herdService  = time.Second
+	herdSlots    = 16
 )
 
-// herdEngine is one engine: the ends of what runs, the arrivals of what waits, and the last report.
+// herdEngine is one engine: the end times of running requests, the arrival times of waiting ones, and the last report.
 type herdEngine struct {
-	ends     []time.Duration
-	waiting  []time.Duration
-	reported Candidate
-	at       time.Duration
+	endTimes    []time.Duration
+	queuedSince []time.Duration
+	reported    Candidate
+	nextReport  time.Duration
 }
 
 func (e *herdEngine) candidate(name id.Instance) Candidate {
-	return Candidate{Instance: name, Slots: herdSlots, Running: len(e.ends), Waiting: len(e.waiting), Slowdown: 1, Fresh: true}
+	return Candidate{Instance: name, Slots: herdSlots, Running: len(e.endTimes), Waiting: len(e.queuedSince), Slowdown: 1, Fresh: true}
 }
 
-// step ends and begins requests and adds up how long those that begin have waited.
+// step ends finished requests, starts waiting ones, and appends the queue times of those to waits.
 func (e *herdEngine) step(now time.Duration, r *rand.Rand, waits *[]time.Duration) {
-	kept := e.ends[:0]
-	for _, end := range e.ends {
+	running := e.endTimes[:0]
+	for _, end := range e.endTimes {
 		if end > now {
-			kept = append(kept, end)
+			running = append(running, end)
 		}
 	}
-	e.ends = kept
-	for len(e.waiting) > 0 && len(e.ends) < herdSlots {
+	e.endTimes = running
+	for len(e.queuedSince) > 0 && len(e.endTimes) < herdSlots {
 		if now > herdWarmUp {
-			*waits = append(*waits, now-e.waiting[0])
+			*waits = append(*waits, now-e.queuedSince[0])
 		}
-		e.waiting = e.waiting[1:]
-		e.ends = append(e.ends, now+time.Duration(r.ExpFloat64()*float64(herdService)))
+		e.queuedSince = e.queuedSince[1:]
+		e.endTimes = append(e.endTimes, now+time.Duration(r.ExpFloat64()*float64(herdService)))
 	}
 }
 
-// play returns the waits of all requests, sorted.
-func (h herd) play(seed uint64) []time.Duration {
+// simulate returns the queue times of all requests, sorted.
+func (h herd) simulate(seed uint64) []time.Duration {
 	r := rand.New(rand.NewPCG(seed, 1))
 	engines := make([]herdEngine, h.upstreams)
 	names := make([]id.Instance, h.upstreams)
 	for i := range engines {
 		names[i] = id.Instance(fmt.Sprint(i))
-		engines[i].at = time.Duration(r.Int64N(int64(h.between)))
+		engines[i].nextReport = time.Duration(r.Int64N(int64(h.reportInterval)))
 		engines[i].reported = engines[i].candidate(names[i])
 	}
 	perSecond := h.load * float64(h.upstreams*herdSlots) / herdService.Seconds()
@@ -75,48 +77,48 @@
 		return time.Millisecond*time.Duration(c.load()) + max(0, time.Duration(c.load()+1-herdSlots)*herdService/herdSlots)
 	}}
 	if h.spreading {
-		w.Horizon, w.Demand = h.between, Demand{"": {OnTime: perSecond}}
+		w.Horizon, w.Demand = h.reportInterval, Demand{"": {OnTime: perSecond}}
 		w.Advance = func(c *Candidate, d time.Duration) {
 			ended := int(float64(c.Running) * d.Seconds() / herdService.Seconds())
 			begun := min(c.Waiting, herdSlots-c.Running+ended)
 			c.Running, c.Waiting = c.Running-ended+begun, c.Waiting-begun
 		}
 	}
-	// own counts what each gateway has sent to an engine since its report, as the tracker does.
-	own := make([][]int, h.gateways)
-	for g := range own {
-		own[g] = make([]int, h.upstreams)
+	// own counts the requests that each gateway sent to an engine since the engine's last report, as the tracker does.
+	sentSinceReport := make([][]int, h.gateways)
+	for g := range sentSinceReport {
+		sentSinceReport[g] = make([]int, h.upstreams)
 	}
 	var waits []time.Duration
-	view := make([]Candidate, h.upstreams)
-	for now := time.Duration(0); now < herdFor; now += herdStep {
+	candidateViews := make([]Candidate, h.upstreams)
+	for now := time.Duration(0); now < herdDuration; now += herdStep {
 		for i := range engines {
 			engines[i].step(now, r, &waits)
-			if now >= engines[i].at {
-				engines[i].reported, engines[i].at = engines[i].candidate(names[i]), now+h.between
-				for g := range own {
-					own[g][i] = 0
+			if now >= engines[i].nextReport {
+				engines[i].reported, engines[i].nextReport = engines[i].candidate(names[i]), now+h.reportInterval
+				for g := range sentSinceReport {
+					sentSinceReport[g][i] = 0
 				}
 			}
 		}
 		for range poisson(perSecond*herdStep.Seconds(), r) {
 			g := r.IntN(h.gateways)
 			for i := range engines {
-				view[i] = engines[i].reported
-				view[i].Waiting += own[g][i]
-				if h.knowing {
-					view[i] = engines[i].candidate(names[i])
+				candidateViews[i] = engines[i].reported
+				candidateViews[i].Waiting += sentSinceReport[g][i]
+				if h.fullKnowledge {
+					candidateViews[i] = engines[i].candidate(names[i])
 				}
 			}
-			seen := view
-			if h.few {
-				seen = three(view, r)
+			candidates := candidateViews
+			if h.sampling {
+				candidates = sampleThree(candidateViews, r)
 			}
-			c, _ := Choose(seen, nil, w, r)
+			c, _ := Choose(candidates, nil, w, r)
 			for i := range engines {
 				if names[i] == c.Instance {
-					own[g][i]++
-					engines[i].waiting = append(engines[i].waiting, now)
+					sentSinceReport[g][i]++
+					engines[i].queuedSince = append(engines[i].queuedSince, now)
 				}
 			}
 		}
@@ -125,8 +127,8 @@
 	return waits
 }
 
-// three draws three of the views.
-func three(l []Candidate, r *rand.Rand) []Candidate {
+// sampleThree returns three candidates drawn at random.
+func sampleThree(l []Candidate, r *rand.Rand) []Candidate {
 	var of []Candidate
 	for _, i := range r.Perm(len(l))[:3] {
 		of = append(of, l[i])
@@ -134,7 +136,7 @@
 	return of
 }
 
-// poisson draws the number of arrivals in a step of a small mean.
+// poisson draws the number of arrivals in a step with a small mean.
 func poisson(mean float64, r *rand.Rand) int {
 	n := 0
 	for t := r.ExpFloat64(); t < mean; t += r.ExpFloat64() {
@@ -143,11 +145,12 @@
 	return n
 }
 
-// BenchmarkChoiceOnOldViews reports the queue wait at the 95th percentile in ms, with seed 1: before, for each gateway taking
-// the best of its view ("best") or of three drawn at random ("three"); after, for the layout of what all send ("spread");
-// and for a chooser that sees the present ("knowing"). Engines have 16 slots and answers last a second on the mean.
+// BenchmarkChoiceOnOldViews reports the 95th percentile of queue times in ms with seed 1, for gateways that take the
+// best upstream of the last reports ("best") or of three drawn at random ("three"), that use the forecast of what all
+// gateways send ("spread"), and that see the current state ("knowing"). Engines have 16 slots, and responses last a
+// second on average.
 //
-//	gateways upstreams between  load   best  three  spread  knowing
+//	gateways upstreams interval load   best  three  spread  knowing
 //	       9        20   200ms  0.80    700     45       1        1
 //	       9        20   200ms  0.92    763    253     188        1
 //	       9        20   100ms  0.92    485    149      76        1
@@ -157,21 +160,21 @@
 //	     200        90   200ms  0.80   6116      4      11        1
 func BenchmarkChoiceOnOldViews(b *testing.B) {
 	for _, h := range []herd{
-		{gateways: 9, upstreams: 20, between: 200 * time.Millisecond, load: 0.8},
-		{gateways: 9, upstreams: 20, between: 200 * time.Millisecond, load: 0.92},
-		{gateways: 9, upstreams: 20, between: 100 * time.Millisecond, load: 0.92},
-		{gateways: 40, upstreams: 45, between: 200 * time.Millisecond, load: 0.8},
-		{gateways: 40, upstreams: 45, between: 200 * time.Millisecond, load: 0.92},
-		{gateways: 40, upstreams: 45, between: time.Second, load: 0.8},
-		{gateways: 200, upstreams: 90, between: 200 * time.Millisecond, load: 0.8},
+		{gateways: 9, upstreams: 20, reportInterval: 200 * time.Millisecond, load: 0.8},
+		{gateways: 9, upstreams: 20, reportInterval: 200 * time.Millisecond, load: 0.92},
+		{gateways: 9, upstreams: 20, reportInterval: 100 * time.Millisecond, load: 0.92},
+		{gateways: 40, upstreams: 45, reportInterval: 200 * time.Millisecond, load: 0.8},
+		{gateways: 40, upstreams: 45, reportInterval: 200 * time.Millisecond, load: 0.92},
+		{gateways: 40, upstreams: 45, reportInterval: time.Second, load: 0.8},
+		{gateways: 200, upstreams: 90, reportInterval: 200 * time.Millisecond, load: 0.8},
 	} {
 		for _, way := range []string{"best", "three", "spread", "knowing"} {
 			v := h
-			v.spreading, v.knowing, v.few = way == "spread", way == "knowing", way == "three"
-			b.Run(fmt.Sprintf("%dx%d/%v/%.2f/%s", h.gateways, h.upstreams, h.between, h.load, way), func(b *testing.B) {
+			v.spreading, v.fullKnowledge, v.sampling = way == "spread", way == "knowing", way == "three"
+			b.Run(fmt.Sprintf("%dx%d/%v/%.2f/%s", h.gateways, h.upstreams, h.reportInterval, h.load, way), func(b *testing.B) {
 				var waits []time.Duration
 				for b.Loop() {
-					waits = v.play(1)
+					waits = v.simulate(1)
 				}
 				b.ReportMetric(float64(waits[len(waits)*95/100].Milliseconds()), "p95-wait-ms")
 			})
--- a/internal/placement/limit.go
+++ b/internal/placement/limit.go
@@ -11,134 +11,135 @@
 	"github.com/springrail/springrail/internal/throttle"
 )
 
-// limit fills in what is known of an upstream's limit. Where the process beside the upstream reports, it gives the
-// permits; where it is silent, or there is none, the gateways share them. The caller holds the lock.
-func (t *Tracker) limit(c *Candidate, u *upstream, i *facts.Instance) {
-	if u.isOther(i) {
-		u.limit, u.limited = nil, nil
+// fillLimit sets the candidate's rate limit. While the process beside the upstream reports, it issues the permits; while
+// it is silent, or where there is none, the gateways divide the limit among themselves. The caller holds the lock.
+func (t *Tracker) fillLimit(c *Candidate, u *upstream, i *facts.Instance) {
+	if u.isDifferentInstance(i) {
+		u.limit, u.limitedInstance = nil, nil
 		return
 	}
-	l := t.limitOf(u)
+	l := t.currentLimit(u)
 	c.Limit = &l
 }
 
-// limitOf is an upstream's limit at this moment; the caller holds the lock.
-func (t *Tracker) limitOf(u *upstream) throttle.Limit {
+// currentLimit returns an upstream's rate limit at this moment. The caller holds the lock.
+func (t *Tracker) currentLimit(u *upstream) throttle.Limit {
 	now := t.now()
-	if u.report.believed(now) {
+	if u.report.isFresh(now) {
 		return u.limit.Granted(now)
 	}
-	return u.limit.Shared(now, u.limit.Share(t.Gateways(), !u.reports()), rand.Float64)
+	return u.limit.Shared(now, u.limit.Share(t.Gateways(), !u.hasReported()), rand.Float64)
 }
 
-// LimitedUpstream is an upstream that names a limit.
+// LimitedUpstream is an upstream that announces a rate limit.
 type LimitedUpstream struct {
 	Address string
 	throttle.Limit
 }
 
-// Limits lists the upstreams that name a limit, by address.
+// Limits returns the upstreams that announce a rate limit, sorted by address.
 func (t *Tracker) Limits() (l []LimitedUpstream) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for address, u := range t.known {
+	for address, u := range t.upstreams {
 		if u.limit != nil {
-			l = append(l, LimitedUpstream{Address: address, Limit: t.limitOf(u)})
+			l = append(l, LimitedUpstream{Address: address, Limit: t.currentLimit(u)})
 		}
 	}
 	slices.SortFunc(l, func(a, b LimitedUpstream) int { return strings.Compare(a.Address, b.Address) })
 	return l
 }
 
-// isOther says whether another instance has come to the address than the one that is limited, which is not limited
-// then. Starts tell upstreams apart; those that don't tell theirs are other ones under another ID.
-func (u *upstream) isOther(i *facts.Instance) bool {
-	if u.limited == nil {
-		u.limited = i
+// isDifferentInstance reports whether another instance now has the address of the rate-limited one; the limit does not
+// apply to it. Incarnations tell upstreams apart; for upstreams without one a different instance ID does.
+func (u *upstream) isDifferentInstance(i *facts.Instance) bool {
+	if u.limitedInstance == nil {
+		u.limitedInstance = i
 	}
-	return u.limited.ID != i.ID && u.born == 0 && i.ListPosition >= u.limited.ListPosition
+	return u.limitedInstance.ID != i.ID && u.incarnation == 0 && i.ListPosition >= u.limitedInstance.ListPosition
 }
 
-// reports says whether a process beside the upstream has ever reported.
-func (u *upstream) reports() bool {
+// hasReported reports whether the process beside the upstream has ever sent a report.
+func (u *upstream) hasReported() bool {
 	return !u.report.ReceivedAt.IsZero()
 }
 
-// hearLimit takes what the process beside the upstream tells.
-func (u *upstream) hearLimit(told throttle.Announcement, now time.Time) {
-	if u.unlimited(told.LimitInfo) {
+// applyLimit applies a limit announcement of the process beside the upstream.
+func (u *upstream) applyLimit(announcement throttle.Announcement, now time.Time) {
+	if u.staysUnlimited(announcement.LimitInfo) {
 		return
 	}
-	u.limit.ApplyAnnouncement(told, now)
-	u.settle()
+	u.limit.ApplyAnnouncement(announcement, now)
+	u.dropEndedLimit()
 }
 
-// unlimited says whether the upstream has no limit and a word does not change that; otherwise its limit can be set.
-func (u *upstream) unlimited(w throttle.LimitInfo) bool {
-	if u.limit == nil && w.State == throttle.Limited {
+// staysUnlimited reports whether the upstream has no limit and the given information does not introduce one. Otherwise
+// it makes sure that limit is set.
+func (u *upstream) staysUnlimited(info throttle.LimitInfo) bool {
+	if u.limit == nil && info.State == throttle.Limited {
 		u.limit = &throttle.KnownLimit{}
 	}
 	return u.limit == nil
 }
 
-// settle forgets a limit that has ended.
-func (u *upstream) settle() {
+// dropEndedLimit removes a limit that has ended.
+func (u *upstream) dropEndedLimit() {
 	if !u.limit.Limited() {
-		u.limit, u.limited = nil, nil
+		u.limit, u.limitedInstance = nil, nil
 	}
 }
 
-// RecordLimitAnnouncement takes what the process beside an upstream has told besides its report.
-func (t *Tracker) RecordLimitAnnouncement(address string, told throttle.Announcement) {
+// RecordLimitAnnouncement applies a limit announcement that the process beside an upstream sent outside its reports.
+func (t *Tracker) RecordLimitAnnouncement(address string, announcement throttle.Announcement) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if u := t.known[address]; u != nil {
-		u.hearLimit(told, t.now())
+	if u := t.upstreams[address]; u != nil {
+		u.applyLimit(announcement, t.now())
 	}
 }
 
-// UnannouncedLimit is the limit of an upstream of which the process beside it, by its start, has told nothing; false where there
-// is no such limit.
-func (t *Tracker) UnannouncedLimit(address string, by uint64) (throttle.Rate, id.Birth, bool) {
+// UnannouncedLimit returns an upstream's limit that the given incarnation of the process beside it has not announced,
+// with the upstream's incarnation; false if there is no such limit.
+func (t *Tracker) UnannouncedLimit(address string, incarnation uint64) (throttle.Rate, id.Birth, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.known[address]
+	u := t.upstreams[address]
 	if u == nil || u.limit == nil {
 		return 0, 0, false
 	}
-	r, untold := u.limit.Unannounced(by)
-	return r, u.born, untold
+	rate, unannounced := u.limit.Unannounced(incarnation)
+	return rate, u.incarnation, unannounced
 }
 
-// TakeSharePermit takes a permit for an upstream of this gateway's own part.
+// TakeSharePermit takes a permit from this gateway's own share of an upstream's limit.
 func (t *Tracker) TakeSharePermit(address string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.known[address]
+	u := t.upstreams[address]
 	return u != nil && u.limit != nil && u.limit.TakeSharePermit(t.now())
 }
 
-// RecordLimitAnswer takes what the upstream's answer to the request says of its limit, and returns whether the process beside
-// the upstream is to be told.
-func (f *Attempt) RecordLimitAnswer(w throttle.LimitInfo) (tell bool) {
+// RecordLimitAnswer applies the limit information of the upstream's response to the attempt, and returns whether the
+// process beside the upstream must be notified of it.
+func (f *Attempt) RecordLimitAnswer(info throttle.LimitInfo) (notify bool) {
 	t, u := f.tracker, f.upstream
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if u.unlimited(w) {
+	if u.staysUnlimited(info) {
 		return false
 	}
 	now := t.now()
-	silent := !u.report.believed(now)
-	u.limit.ApplyAnswer(w, f.sent.at, now, silent)
-	u.settle()
+	silent := !u.report.isFresh(now)
+	u.limit.ApplyAnswer(info, f.request.sentAt, now, silent)
+	u.dropEndedLimit()
 	return u.limit != nil && !u.limit.FromUpstream() && !silent
 }
 
-// SpreadRetryAfter is when a caller may come back where permits come more slowly than callers: any moment from the next
-// permit on within what a caller heeds that has a time left. All that came back at the next permit would find the one
-// that took it.
-func SpreadRetryAfter(due, left time.Duration, r *rand.Rand) time.Duration {
-	most := max(leastRetry, time.Duration(retryShare*float64(left)))
-	from := min(max(due, leastRetry), most)
-	return from + time.Duration(r.Float64()*float64(most-from))
+// SpreadRetryAfter returns the Retry-After where permits become available more slowly than callers arrive: a random time
+// between the next permit and the longest wait that a caller with the given remaining patience accepts. Callers that all
+// returned at the next permit would find it taken.
+func SpreadRetryAfter(nextPermit, remaining time.Duration, r *rand.Rand) time.Duration {
+	latest := max(minRetryAfter, time.Duration(maxRetryAfterShare*float64(remaining)))
+	earliest := min(max(nextPermit, minRetryAfter), latest)
+	return earliest + time.Duration(r.Float64()*float64(latest-earliest))
 }
--- a/internal/placement/limit_test.go
+++ b/internal/placement/limit_test.go
@@ -11,11 +11,11 @@
 	"github.com/springrail/springrail/internal/throttle"
 )
 
-var _ = Describe("an upstream that takes no more than a limit", func() {
-	// chosen is the share of requests that go to the upstream with the given place in the list and find room there.
-	chosen := func(l []Candidate, n int, w *Forecast) float64 {
+var _ = Describe("an upstream with a rate limit", func() {
+	// shareWithCapacity is the share of requests that are placed on the upstream at the given index with capacity for them.
+	shareWithCapacity := func(l []Candidate, n int, w *Forecast) float64 {
 		const tries = 2000
-		r := seeded()
+		r := seededRandom()
 		at := 0
 		for range tries {
 			if c, _ := Choose(l, nil, w, r); c.Instance == l[n].Instance && c.HasCapacity {
@@ -26,25 +26,25 @@
 	}
 	demand := Demand{"d": {OnTime: 300}}
 
-	It("gets the share of all requests for which it has permits, however idle it looks", func() {
+	It("gets only as many requests as it has permits, however idle it looks", func() {
 		l := fleetOf(10, 20)
 		l[3].Running, l[3].Waiting = 0, 0
-		Expect(chosen(l, 3, outlookOf(demand))).To(BeNumerically(">", 2*2.0/61))
+		Expect(shareWithCapacity(l, 3, forecastOf(demand))).To(BeNumerically(">", 2*2.0/61))
 		l[3].Limit = &throttle.Limit{Rate: 2, Permits: 2}
-		// 60 requests are expected until the next reports, and the one that is asked about.
-		Expect(chosen(l, 3, outlookOf(demand))).To(BeNumerically("~", 2.0/61, 0.015))
+		// 60 requests are expected until the next reports, plus the request itself.
+		Expect(shareWithCapacity(l, 3, forecastOf(demand))).To(BeNumerically("~", 2.0/61, 0.015))
 	})
 
-	It("leaves the rest without room where all of a pool are limited", func() {
+	It("leaves the other requests without capacity where all upstreams of a pool are limited", func() {
 		l := fleetOf(10, 0)
 		for n := range l {
 			l[n].Limit = &throttle.Limit{Rate: 2, Permits: 1}
 		}
-		Expect(letIn(l, outlookOf(demand))).To(BeNumerically("~", 10.0/61, 0.03))
+		Expect(admittedShare(l, forecastOf(demand))).To(BeNumerically("~", 10.0/61, 0.03))
 	})
 })
 
-var _ = Describe("what the tracker knows of limits", func() {
+var _ = Describe("the tracker's rate limits", func() {
 	var (
 		now time.Time
 		t   *Tracker
@@ -56,18 +56,18 @@
 		t = NewTracker(func() time.Time { return now })
 		i = &facts.Instance{ID: "i", Address: "a", Born: 5, ListPosition: 1}
 	})
-	report := func(b id.Birth, told throttle.Announcement) {
-		t.SetReport("a", LoadReport{Incarnation: b, ReceivedAt: now, Limit: told})
+	report := func(b id.Birth, announcement throttle.Announcement) {
+		t.SetReport("a", LoadReport{Incarnation: b, ReceivedAt: now, Limit: announcement})
 	}
 
-	It("is of one start of an upstream", func() {
+	It("end with the process lifetime of the upstream", func() {
 		report(5, throttle.Announcement{LimitInfo: limited, Incarnation: 1, Permits: 2})
 		Expect(t.Candidate(i, 0).Limit.Permits).To(Equal(2))
 		report(6, throttle.Announcement{Incarnation: 1})
 		Expect(t.Candidate(i, 0).Limit).To(BeNil())
 	})
 
-	It("is of one instance where upstreams don't tell their starts", func() {
+	It("apply to one instance ID where upstreams have no incarnation", func() {
 		i.Born = 0
 		f := t.Begin("a", 1)
 		Expect(f.RecordLimitAnswer(limited)).To(BeFalse())
@@ -75,21 +75,21 @@
 		Expect(t.Candidate(&facts.Instance{ID: "j", Address: "a", ListPosition: 2}, 0).Limit).To(BeNil())
 	})
 
-	It("is told to the process beside the upstream where that does not say it itself", func() {
+	It("are sent to the process beside the upstream unless it gets them from the upstream itself", func() {
 		report(5, throttle.Announcement{Incarnation: 1})
 		f := t.Begin("a", 1)
 		Expect(f.RecordLimitAnswer(limited)).To(BeTrue())
-		_, _, untold := t.UnannouncedLimit("a", 1)
-		Expect(untold).To(BeTrue())
+		_, _, unannounced := t.UnannouncedLimit("a", 1)
+		Expect(unannounced).To(BeTrue())
 		report(5, throttle.Announcement{LimitInfo: limited, Incarnation: 1})
-		_, _, untold = t.UnannouncedLimit("a", 1)
-		Expect(untold).To(BeFalse())
+		_, _, unannounced = t.UnannouncedLimit("a", 1)
+		Expect(unannounced).To(BeFalse())
 		Expect(f.RecordLimitAnswer(limited)).To(BeTrue())
 		report(5, throttle.Announcement{LimitInfo: limited, Incarnation: 1, FromUpstream: true})
 		Expect(f.RecordLimitAnswer(limited)).To(BeFalse())
 	})
 
-	It("leaves each gateway its part while the process beside the upstream is silent", func() {
+	It("give each gateway its share while the process beside the upstream is silent", func() {
 		t.Gateways = func() int { return 2 }
 		report(5, throttle.Announcement{LimitInfo: limited, Incarnation: 1, Permits: 2})
 		Expect(t.TakeSharePermit("a")).To(BeFalse())
@@ -105,17 +105,17 @@
 	})
 })
 
-var _ = Describe("when a caller comes back that found no permit", func() {
-	It("is spread from the next permit on over what the caller heeds", func() {
-		r := seeded()
-		least, most := time.Hour, time.Duration(0)
+var _ = Describe("the Retry-After of a caller that got no permit", func() {
+	It("is spread between the next permit and the longest wait that the caller accepts", func() {
+		r := seededRandom()
+		shortest, longest := time.Hour, time.Duration(0)
 		for range 1000 {
 			d := SpreadRetryAfter(500*time.Millisecond, 6*time.Second, r)
-			least, most = min(least, d), max(most, d)
+			shortest, longest = min(shortest, d), max(longest, d)
 		}
-		Expect(least).To(BeNumerically("~", 500*time.Millisecond, 20*time.Millisecond))
-		Expect(most).To(BeNumerically("~", 2*time.Second, 20*time.Millisecond))
+		Expect(shortest).To(BeNumerically("~", 500*time.Millisecond, 20*time.Millisecond))
+		Expect(longest).To(BeNumerically("~", 2*time.Second, 20*time.Millisecond))
 		Expect(SpreadRetryAfter(time.Hour, 6*time.Second, r)).To(Equal(2 * time.Second))
-		Expect(SpreadRetryAfter(0, 0, r)).To(Equal(leastRetry))
+		Expect(SpreadRetryAfter(0, 0, r)).To(Equal(minRetryAfter))
 	})
 })
--- a/internal/placement/patience.go
+++ b/internal/placement/patience.go
@@ -8,66 +8,70 @@
 )
 
 const (
-	// patienceWindow is how long the longest patience seen on a route counts at least, and twice that at most: long
-	// against the time after which a refused caller comes back, short against changes of a route's callers.
+	// patienceWindow is how long at least the longest patience seen on a route counts, and half of how long at most:
+	// long compared with the time after which a refused caller returns, short compared with changes of a route's
+	// callers.
 	patienceWindow = 15 * time.Second
-	// leastLost is the shortest lost time that is taken for a second try; less is the callers' own spread.
-	leastLost = 50 * time.Millisecond
+	// minTimeLost is the shortest lost time that marks a request as a retry; smaller differences are the callers' own
+	// variation.
+	minTimeLost = 50 * time.Millisecond
 )
 
-// PatienceTracker learns by route how long callers wait from their first try on. A caller that comes back says what is left of
-// that, so the difference is the time that it has lost already. It is safe for concurrent use.
+// PatienceTracker learns, for each route, how long callers wait in total, counted from their first attempt. A returning
+// caller states the remaining part, so the difference to the total is the time that it has lost already. It is safe for
+// concurrent use.
 type PatienceTracker struct {
-	now    func() time.Time
-	mu     sync.Mutex
-	routes map[id.Route]*longest
-	turn   time.Time
+	now       func() time.Time
+	mu        sync.Mutex
+	routes    map[id.Route]*windowMaxima
+	windowEnd time.Time
 }
 
-// longest is the longest patience of the window before and of the current one.
-type longest struct {
-	before, current time.Duration
+// windowMaxima is the longest patience of the previous window and of the current one.
+type windowMaxima struct {
+	previous, current time.Duration
 }
 
-// NewPatienceTracker makes an empty record.
+// NewPatienceTracker returns a tracker without routes.
 func NewPatienceTracker(now func() time.Time) *PatienceTracker {
-	return &PatienceTracker{now: now, routes: map[id.Route]*longest{}, turn: now().Add(patienceWindow)}
+	return &PatienceTracker{now: now, routes: map[id.Route]*windowMaxima{}, windowEnd: now().Add(patienceWindow)}
 }
 
-// TimeLost notes a caller's patience and returns the time that it has lost before this try; 0 where it says none.
+// TimeLost records a caller's stated patience and returns the time that it lost before this attempt; 0 if it states
+// none.
 func (p *PatienceTracker) TimeLost(r id.Route, patience time.Duration) time.Duration {
 	if patience <= 0 {
 		return 0
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.advance()
-	l := p.routes[r]
-	if l == nil {
-		l = &longest{}
-		p.routes[r] = l
+	p.rotateWindow()
+	maxima := p.routes[r]
+	if maxima == nil {
+		maxima = &windowMaxima{}
+		p.routes[r] = maxima
 	}
-	l.current = max(l.current, patience)
-	lost := max(l.before, l.current) - patience
-	if lost < leastLost {
+	maxima.current = max(maxima.current, patience)
+	lost := max(maxima.previous, maxima.current) - patience
+	if lost < minTimeLost {
 		return 0
 	}
 	return lost
 }
 
-// advance begins a new window where the current one is over, and forgets routes without callers in both. The caller
+// rotateWindow begins a new window when the current one has ended, and drops routes without callers in both. The caller
 // holds the lock.
-func (p *PatienceTracker) advance() {
+func (p *PatienceTracker) rotateWindow() {
 	now := p.now()
-	if now.Before(p.turn) {
+	if now.Before(p.windowEnd) {
 		return
 	}
-	p.turn = now.Add(patienceWindow)
-	for r, l := range p.routes {
-		if l.current == 0 {
+	p.windowEnd = now.Add(patienceWindow)
+	for r, maxima := range p.routes {
+		if maxima.current == 0 {
 			delete(p.routes, r)
 			continue
 		}
-		l.before, l.current = l.current, 0
+		maxima.previous, maxima.current = maxima.current, 0
 	}
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -20,7 +20,7 @@
 	spec.Run(t, "Placement")
 }
 
-// engine is like the users' engines.
+// engine returns an engine with the users' parameters.
 func engine() *catalog.Engine {
 	return &catalog.Engine{
 		Slots: 16, Step: 9270 * time.Microsecond, PerSequence: 23 * time.Microsecond, ContextPer1k: 32 * time.Microsecond,
@@ -28,13 +28,13 @@
 	}
 }
 
-// seeded is a random source of a spec.
-func seeded() *rand.Rand {
+// seeded returns a random source with a fixed seed.
+func seededRandom() *rand.Rand {
 	return rand.New(rand.NewPCG(1, 2))
 }
 
 var _ = Describe("the predicted first event", func() {
-	It("never falls with more work at the upstream, a longer prompt or a slower pace", func() {
+	It("never decreases with more load at the upstream, a longer prompt or a larger slowdown", func() {
 		m := NewLatencyModel(engine())
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			c := Candidate{
@@ -46,12 +46,12 @@
 			slower, longer := c, c
 			slower.Slowdown *= 2
 			if m.FirstEvent(&slower, prompt) < base || m.FirstEvent(&longer, prompt+500) < base {
-				t.Fatalf("less time for more work than %v", base)
+				t.Fatalf("a larger slowdown or a longer prompt lowered the prediction from %v", base)
 			}
 		})
 	})
 
-	It("grows by the engine's time for a request with each place in the queue", func() {
+	It("grows by the engine time per request with each queued request", func() {
 		m := NewLatencyModel(engine())
 		full := Candidate{Slots: 16, Running: 16, Slowdown: 1}
 		queue := Candidate{Slots: 16, Running: 16, Waiting: 4, Slowdown: 1}
@@ -64,7 +64,7 @@
 	m := NewLatencyModel(engine())
 	predict := func(c *Candidate) time.Duration { return m.FirstEvent(c, 900) }
 
-	It("takes one that is not tried, no suspect while another is left, and none clearly busier than the best", func() {
+	It("is an untried one, a suspect only as the last resort, and none clearly slower than the best", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			var l []Candidate
 			tried := map[id.Instance]bool{}
@@ -76,34 +76,34 @@
 				})
 				tried[n] = rapid.Bool().Draw(t, "tried")
 			}
-			c, ok := Choose(l, tried, &Forecast{PredictFirstEvent: predict}, seeded())
-			sound, some, least := false, false, time.Hour
+			c, ok := Choose(l, tried, &Forecast{PredictFirstEvent: predict}, seededRandom())
+			hasSound, hasUntried, lowest := false, false, time.Hour
 			for i := range l {
 				if tried[l[i].Instance] {
 					continue
 				}
-				some = true
-				sound = sound || !l[i].Suspect
+				hasUntried = true
+				hasSound = hasSound || !l[i].Suspect
 				if l[i].Suspect == c.Suspect {
-					least = min(least, predict(&l[i]))
+					lowest = min(lowest, predict(&l[i]))
 				}
 			}
-			if ok != some || (ok && (tried[c.Instance] || (c.Suspect && sound))) {
+			if ok != hasUntried || (ok && (tried[c.Instance] || (c.Suspect && hasSound))) {
 				t.Fatalf("chose %+v of %+v", c, l)
 			}
-			if ok && float64(c.Predicted)*(1-jitter) > float64(least) {
-				t.Fatalf("predicted %v where %v was to be had", c.Predicted, least)
+			if ok && float64(c.Predicted)*(1-costJitter) > float64(lowest) {
+				t.Fatalf("chose a predicted time of %v although %v was available", c.Predicted, lowest)
 			}
 		})
 	})
 
-	It("spreads equals, so that gateways with the same view do not all take the same one", func() {
+	It("spreads over equal upstreams, so that gateways with the same reports do not all choose the same one", func() {
 		var l []Candidate
 		for i := range 8 {
 			l = append(l, Candidate{Instance: id.Instance(fmt.Sprint(i)), Slots: 16, Running: 4, Slowdown: 1, Fresh: true})
 		}
 		got := map[id.Instance]int{}
-		r := seeded()
+		r := seededRandom()
 		for range 800 {
 			c, _ := Choose(l, nil, &Forecast{PredictFirstEvent: predict}, r)
 			got[c.Instance]++
@@ -114,26 +114,26 @@
 		Expect(got).To(HaveLen(8))
 	})
 
-	It("stays in the own failure domain unless another saves more than the way costs", func() {
-		near := Candidate{Instance: "near", Slots: 16, Running: 2, Slowdown: 1, Fresh: true, Domain: "d"}
-		far := Candidate{Instance: "far", Slots: 16, Running: 2, Slowdown: 1, Fresh: true}
+	It("stays in the local failure domain unless another saves more than the network path costs", func() {
+		local := Candidate{Instance: "near", Slots: 16, Running: 2, Slowdown: 1, Fresh: true, Domain: "d"}
+		remote := Candidate{Instance: "far", Slots: 16, Running: 2, Slowdown: 1, Fresh: true}
 		for range 50 {
-			c, _ := Choose([]Candidate{far, near}, nil, &Forecast{Domain: "d", PredictFirstEvent: func(*Candidate) time.Duration { return 100 * time.Millisecond }}, seeded())
+			c, _ := Choose([]Candidate{remote, local}, nil, &Forecast{Domain: "d", PredictFirstEvent: func(*Candidate) time.Duration { return 100 * time.Millisecond }}, seededRandom())
 			Expect(c.Instance).To(Equal(id.Instance("near")))
 		}
-		near.Running, near.Waiting = 16, 10
-		c, _ := Choose([]Candidate{far, near}, nil, &Forecast{Domain: "d", PredictFirstEvent: predict}, seeded())
+		local.Running, local.Waiting = 16, 10
+		c, _ := Choose([]Candidate{remote, local}, nil, &Forecast{Domain: "d", PredictFirstEvent: predict}, seededRandom())
 		Expect(c.Instance).To(Equal(id.Instance("far")))
 	})
 })
 
-var _ = Describe("the mean age of figures", func() {
-	aged := func(d id.Domain, age time.Duration, known bool) Candidate {
-		return Candidate{Domain: d, Age: age, Fresh: known}
+var _ = Describe("the mean age of reports", func() {
+	candidateOfAge := func(d id.Domain, age time.Duration, fresh bool) Candidate {
+		return Candidate{Domain: d, Age: age, Fresh: fresh}
 	}
 
-	It("is that of the own failure domain, where any are known there", func() {
-		l := []Candidate{aged("d", 100*time.Millisecond, true), aged("d", time.Hour, false), aged("e", time.Second, true)}
+	It("is that of the local failure domain if it has fresh reports", func() {
+		l := []Candidate{candidateOfAge("d", 100*time.Millisecond, true), candidateOfAge("d", time.Hour, false), candidateOfAge("e", time.Second, true)}
 		Expect(MeanReportAge(l, "d")).To(Equal(100 * time.Millisecond))
 		Expect(MeanReportAge(l[1:], "d")).To(Equal(time.Second))
 		Expect(MeanReportAge(nil, "d")).To(BeZero())
@@ -149,7 +149,7 @@
 		t = NewTracker(func() time.Time { return now })
 	})
 
-	It("adds its own sends to a report that is older, and not to one that is newer", func() {
+	It("adds this process's requests to an older report, and not to a newer one", func() {
 		t.SetReport("a", LoadReport{Running: 3, Waiting: 1, ReceivedAt: now})
 		now = now.Add(10 * time.Millisecond)
 		f := t.Begin("a", 500)
@@ -161,18 +161,18 @@
 		Expect(t.Candidate(one, 900).InFlight).To(BeZero())
 	})
 
-	It("guesses from its own requests where the report is too old", func() {
+	It("estimates the load from this process's requests once the report has expired", func() {
 		t.SetReport("a", LoadReport{Running: 9, ReceivedAt: now})
 		t.Begin("a", 500)
-		now = now.Add(2 * reportLife)
+		now = now.Add(2 * reportTTL)
 		c := t.Candidate(one, 900)
 		Expect(c.Fresh).To(BeFalse())
-		Expect(c.load()).To(Equal(shareOfAll))
+		Expect(c.load()).To(Equal(assumedPeers))
 	})
 
-	It("believes a report as long as that says", func() {
-		t.SetReport("a", LoadReport{Running: 9, ReceivedAt: now, ValidUntil: now.Add(3 * reportLife)})
-		now = now.Add(3 * reportLife)
+	It("uses a report until its ValidUntil", func() {
+		t.SetReport("a", LoadReport{Running: 9, ReceivedAt: now, ValidUntil: now.Add(3 * reportTTL)})
+		now = now.Add(3 * reportTTL)
 		Expect(t.Candidate(one, 900).Fresh).To(BeTrue())
 		now = now.Add(time.Millisecond)
 		Expect(t.Candidate(one, 900).Fresh).To(BeFalse())
@@ -180,23 +180,23 @@
 		Expect(ok).To(BeFalse())
 	})
 
-	It("leaves a failed upstream alone for longer each time, a stalled one for longer still, and forgives a success", func() {
+	It("doubles the backoff after each failure, starts higher after a stall, and resets it on success", func() {
 		f := t.Begin("a", 1)
 		f.RecordFailure()
 		Expect(t.Candidate(one, 0).Suspect).To(BeTrue())
-		now = now.Add(suspectBase + time.Millisecond)
+		now = now.Add(suspectBackoff + time.Millisecond)
 		Expect(t.Candidate(one, 0).Suspect).To(BeFalse())
 		f.RecordFailure()
-		now = now.Add(suspectBase + time.Millisecond)
+		now = now.Add(suspectBackoff + time.Millisecond)
 		Expect(t.Candidate(one, 0).Suspect).To(BeTrue())
-		now = now.Add(suspectMost)
+		now = now.Add(maxSuspectBackoff)
 		t.Begin("a", 1).RecordFirstEvent()
 		f.RecordStall()
-		now = now.Add(stallBase - time.Millisecond)
+		now = now.Add(stallBackoff - time.Millisecond)
 		Expect(t.Candidate(one, 0).Suspect).To(BeTrue())
 	})
 
-	It("takes an upstream to be as fast as its report says, however long its answers took of late", func() {
+	It("takes an upstream's slowdown from its report, whatever its recent response times", func() {
 		t.SetReport("a", LoadReport{Slowdown: 1.5, ReceivedAt: now})
 		for range 20 {
 			f := t.Begin("a", 1)
@@ -207,26 +207,26 @@
 		Expect(t.Candidate(one, 0).Slowdown).To(Equal(1.5))
 	})
 
-	It("knows nothing of an upstream that has started again under its ID: no figures, requests or failures", func() {
+	It("drops reports, requests and failures when an upstream restarts under the same ID", func() {
 		one := &facts.Instance{ID: "i", Born: 10, Address: "a", Slots: 16}
 		t.SetReport("a", LoadReport{Incarnation: 10, Running: 9, Held: []facts.Held{{Model: "m", Revision: 3}}, ReceivedAt: now})
 		old := t.Begin("a", 500)
 		old.RecordStall()
 		Expect(t.Candidate(one, 900).Suspect).To(BeTrue())
-		again := &facts.Instance{ID: "i", Born: 20, Address: "a", Slots: 16}
-		_, fresh := t.Report(again)
+		restarted := &facts.Instance{ID: "i", Born: 20, Address: "a", Slots: 16}
+		_, fresh := t.Report(restarted)
 		Expect(fresh).To(BeFalse())
-		c := t.Candidate(again, 900)
+		c := t.Candidate(restarted, 900)
 		Expect(c.Suspect || c.Fresh || c.InFlight > 0).To(BeFalse())
 		old.RecordFailure()
 		old.RecordFirstEvent()
 		old.End()
 		t.SetReport("a", LoadReport{Incarnation: 10, Running: 9, ReceivedAt: now})
-		c = t.Candidate(again, 900)
-		Expect(c.Suspect || c.Fresh || c.InFlight > 0).To(BeFalse(), "a late report and an old request's end are of the start before")
+		c = t.Candidate(restarted, 900)
+		Expect(c.Suspect || c.Fresh || c.InFlight > 0).To(BeFalse(), "a late report and the end of an old request belong to the previous process lifetime")
 	})
 
-	It("learns of a new start by a report too, and takes an entry that lags behind for what was", func() {
+	It("learns of a restart from a report too, and ignores a list entry of the previous lifetime", func() {
 		one := &facts.Instance{ID: "i", Born: 10, Address: "a", Slots: 16}
 		t.Report(one)
 		t.Begin("a", 500)
@@ -236,36 +236,36 @@
 		Expect(l.Incarnation).To(Equal(id.Birth(20)))
 		Expect(t.Candidate(one, 900).Incarnation).To(Equal(id.Birth(20)))
 		Expect(t.Candidate(one, 900).InFlight).To(BeZero())
-		now = now.Add(2 * reportLife)
+		now = now.Add(2 * reportTTL)
 		l, fresh = t.Report(one)
 		Expect(fresh).To(BeFalse())
-		Expect(l.Incarnation).To(Equal(id.Birth(20)), "that it has started again does not age")
+		Expect(l.Incarnation).To(Equal(id.Birth(20)), "the knowledge of a restart does not expire")
 	})
 
-	It("keeps what it knows where neither list nor reports say when an upstream started", func() {
+	It("keeps an entry where neither the list nor reports give the upstream's incarnation", func() {
 		t.SetReport("a", LoadReport{Running: 9, ReceivedAt: now})
 		f := t.Begin("a", 500)
 		Expect(t.Candidate(one, 900).Running).To(Equal(9))
 		born := &facts.Instance{ID: "i", Born: 10, Address: "a", Slots: 16}
-		Expect(t.Candidate(born, 900).InFlight).To(Equal(1), "the first start that is heard of is the one that was known")
+		Expect(t.Candidate(born, 900).InFlight).To(Equal(1), "the first incarnation received belongs to the existing entry")
 		f.End()
 	})
 
-	It("takes an upstream behind a narrow link as suspect", func() {
+	It("treats an upstream behind a congested link as a suspect", func() {
 		t.SetReport("a", LoadReport{Congested: true, ReceivedAt: now})
 		Expect(t.Candidate(one, 0).Suspect).To(BeTrue())
 	})
 })
 
-var _ = Describe("the budget for repeats", func() {
-	It("is never passed by all gateways together, whatever the time of day does", func() {
+var _ = Describe("the retry budget", func() {
+	It("is never exceeded by all gateways together in any window", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			rule := RetryBudgetRule{Ratio: 0.2, Slack: 100, Window: 10 * time.Second}
 			n := rapid.IntRange(1, 8).Draw(t, "gateways")
 			now := time.Now()
-			var all []*RetryBudget
+			var budgets []*RetryBudget
 			for range n {
-				all = append(all, NewRetryBudget(rule, func() int { return n }, func() time.Time { return now }))
+				budgets = append(budgets, NewRetryBudget(rule, func() int { return n }, func() time.Time { return now }))
 			}
 			type event struct {
 				at     time.Time
@@ -274,7 +274,7 @@
 			var events []event
 			for range rapid.IntRange(0, 60).Draw(t, "steps") {
 				now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
-				b := all[rapid.IntRange(0, n-1).Draw(t, "gateway")]
+				b := budgets[rapid.IntRange(0, n-1).Draw(t, "gateway")]
 				for range rapid.IntRange(0, 40).Draw(t, "requests") {
 					b.RecordRequest("p")
 					events = append(events, event{at: now})
@@ -284,18 +284,18 @@
 						events = append(events, event{at: now, repeat: true})
 					}
 				}
-				requests, repeats := 0, 0
+				requests, retries := 0, 0
 				for _, e := range events {
 					switch {
 					case now.Sub(e.at) > rule.Window:
 					case e.repeat:
-						repeats++
+						retries++
 					default:
 						requests++
 					}
 				}
-				if float64(repeats) > rule.Ratio*float64(requests)+rule.Slack {
-					t.Fatalf("%d repeats for %d requests", repeats, requests)
+				if float64(retries) > rule.Ratio*float64(requests)+rule.Slack {
+					t.Fatalf("%d retries for %d requests", retries, requests)
 				}
 			}
 		})
@@ -303,7 +303,7 @@
 })
 
 var _ = Describe("an early refusal", func() {
-	It("does not ask how long a prompt is: long ones are let in as often as short ones", func() {
+	It("does not depend on the prompt length: long prompts are admitted as often as short ones", func() {
 		m := NewLatencyModel(engine())
 		c := Candidate{Slots: 16, Running: 16, Waiting: 1, Slowdown: 1}
 		Expect(m.FirstEvent(&c, 3800)).To(BeNumerically(">", m.FirstEvent(&c, 100)))
@@ -312,18 +312,18 @@
 		Expect(InTime(m.AdmissionLatency(&c), 0, 400*time.Millisecond)).To(BeFalse())
 	})
 
-	It("names a time within what callers heed, whatever their patience", func() {
+	It("has a Retry-After that callers accept, whatever their remaining patience", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			room := time.Duration(rapid.IntRange(-1000, 10000).Draw(t, "room")) * time.Millisecond
-			left := time.Duration(rapid.IntRange(0, 60000).Draw(t, "left")) * time.Millisecond
-			d := RetryAfter(room, left, seeded())
-			if d < leastRetry || (d > left/3 && d > leastRetry) || (room < left/3 && d < room) {
-				t.Fatalf("%v for room in %v and %v left", d, room, left)
+			capacityIn := time.Duration(rapid.IntRange(-1000, 10000).Draw(t, "room")) * time.Millisecond
+			remaining := time.Duration(rapid.IntRange(0, 60000).Draw(t, "left")) * time.Millisecond
+			d := RetryAfter(capacityIn, remaining, seededRandom())
+			if d < minRetryAfter || (d > remaining/3 && d > minRetryAfter) || (capacityIn < remaining/3 && d < capacityIn) {
+				t.Fatalf("Retry-After is %v for capacity in %v and a remaining patience of %v", d, capacityIn, remaining)
 			}
 		})
 	})
 
-	It("is for what can't be in time", func() {
+	It("applies to requests that can't meet the latency target", func() {
 		Expect(InTime(300*time.Millisecond, 0, 400*time.Millisecond)).To(BeTrue())
 		Expect(InTime(300*time.Millisecond, 150*time.Millisecond, 400*time.Millisecond)).To(BeFalse())
 	})
--- a/internal/placement/rate.go
+++ b/internal/placement/rate.go
@@ -8,73 +8,76 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// rateMemory is the time over which requests are averaged: some tens of a gateway's at the users' load, and short against
-// a burst.
-const rateMemory = time.Second
+// rateTimeConstant is the time constant of the average: it spans some tens of requests of a gateway at the users' load,
+// and is short compared with a burst.
+const rateTimeConstant = time.Second
 
-// RateMeter follows how many requests of a kind a second come to this process for each pool. It is safe for concurrent use.
+// RateMeter measures the requests per second that this process receives for each pool, as an exponentially decaying
+// average. It is safe for concurrent use.
 type RateMeter struct {
 	now   func() time.Time
 	mu    sync.Mutex
-	pools map[id.Pool]*decayed
+	pools map[id.Pool]*decayingCount
 }
 
-// decayed is a count that decays by e in a rateMemory, and how much of a steady count would be there by now.
-type decayed struct {
-	count, whole float64
-	at           time.Time
+// decayingCount is a count that decays by the factor e in each rateTimeConstant. fillFraction is the share of its steady
+// state that it would have reached by now under a constant rate.
+type decayingCount struct {
+	count, fillFraction float64
+	at                  time.Time
 }
 
-// NewRateMeter makes an empty record.
+// NewRateMeter returns a meter without requests.
 func NewRateMeter(now func() time.Time) *RateMeter {
-	return &RateMeter{now: now, pools: map[id.Pool]*decayed{}}
+	return &RateMeter{now: now, pools: map[id.Pool]*decayingCount{}}
 }
 
-// Record notes a request.
+// Record counts a request for a pool.
 func (r *RateMeter) Record(p id.Pool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.at(p).count++
+	r.current(p).count++
 }
 
-// PerSecond is the present rate of requests for a pool.
+// PerSecond returns the current rate of requests for a pool.
 func (r *RateMeter) PerSecond(p id.Pool) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.at(p).perSecond()
+	return r.current(p).perSecond()
 }
 
-// Total is the present rate over all pools.
+// Total returns the current rate over all pools.
 func (r *RateMeter) Total() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	sum := 0.0
 	for p := range r.pools {
-		sum += r.at(p).perSecond()
+		sum += r.current(p).perSecond()
 	}
 	return sum
 }
 
-// leastWhole keeps the first few requests of a process from counting as a flood: a tenth of rateMemory has passed.
-const leastWhole = 0.1
+// minFillFraction keeps the first few requests of a process from being extrapolated to a burst: it is reached after a
+// tenth of rateTimeConstant.
+const minFillFraction = 0.1
 
-// perSecond is the rate that the count stands for.
-func (d *decayed) perSecond() float64 {
-	return d.count / (max(d.whole, leastWhole) * rateMemory.Seconds())
+// perSecond returns the rate that corresponds to the count.
+func (d *decayingCount) perSecond() float64 {
+	return d.count / (max(d.fillFraction, minFillFraction) * rateTimeConstant.Seconds())
 }
 
-// at brings a pool's count to the present; the caller holds the lock.
-func (r *RateMeter) at(p id.Pool) *decayed {
+// current returns a pool's count, decayed to the present. The caller holds the lock.
+func (r *RateMeter) current(p id.Pool) *decayingCount {
 	now := r.now()
 	d := r.pools[p]
 	if d == nil {
-		d = &decayed{at: now}
+		d = &decayingCount{at: now}
 		r.pools[p] = d
 	}
-	if passed := now.Sub(d.at); passed > 0 {
-		left := math.Exp(-passed.Seconds() / rateMemory.Seconds())
-		d.count *= left
-		d.whole = 1 - (1-d.whole)*left
+	if elapsed := now.Sub(d.at); elapsed > 0 {
+		decay := math.Exp(-elapsed.Seconds() / rateTimeConstant.Seconds())
+		d.count *= decay
+		d.fillFraction = 1 - (1-d.fillFraction)*decay
 		d.at = now
 	}
 	return d
--- a/internal/placement/rest_test.go
+++ b/internal/placement/rest_test.go
@@ -10,7 +10,7 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-var _ = Describe("an upstream that has asked for rest", func() {
+var _ = Describe("an upstream that asks gateways to pause", func() {
 	var now time.Time
 	var t *Tracker
 	u := &facts.Instance{ID: "i", Address: "a"}
@@ -24,7 +24,7 @@
 		t = NewTracker(func() time.Time { return now })
 	})
 
-	It("rests to the end of the longest time that it has asked for", func() {
+	It("rests until the end of the longest period that it has asked for", func() {
 		Expect(rest(3 * time.Second)).To(BeTrue())
 		now = now.Add(time.Second)
 		Expect(rest(time.Second)).To(BeFalse())
@@ -36,15 +36,15 @@
 		Expect(rest(time.Second)).To(BeTrue())
 	})
 
-	It("rests although a report shows it idle, and although its entry goes for a time", func() {
+	It("rests even if a report shows it idle or its list entry disappears for a while", func() {
 		rest(time.Minute)
 		t.SetReport("a", LoadReport{ReceivedAt: now})
-		now = now.Add(wayMemory + time.Second)
+		now = now.Add(pathRetention + time.Second)
 		t.Sweep(map[string]bool{})
 		Expect(t.Candidate(u, 0).Rest).To(BeNumerically(">", 0))
 	})
 
-	It("rests alone: not the next instance at its address, nor its next start", func() {
+	It("rests alone: neither a new instance at its address nor its next incarnation does", func() {
 		t.SetReport("a", LoadReport{ReceivedAt: now, Incarnation: id.Birth(8)})
 		rest(time.Minute)
 		Expect(t.Candidate(&facts.Instance{ID: "j", Address: "a"}, 0).Rest).To(BeZero())
@@ -53,10 +53,10 @@
 		Expect(t.Candidate(&facts.Instance{ID: "i", Address: "a", Born: 9}, 0).Rest).To(BeZero())
 	})
 
-	It("is forgotten with its entry once the rest is over", func() {
+	It("is swept with its entry after the rest", func() {
 		rest(time.Second)
-		now = now.Add(wayMemory + time.Second)
+		now = now.Add(pathRetention + time.Second)
 		t.Sweep(map[string]bool{})
-		Expect(t.known).To(BeEmpty())
+		Expect(t.upstreams).To(BeEmpty())
 	})
 })
--- a/internal/placement/tracker.go
+++ b/internal/placement/tracker.go
@@ -10,258 +10,263 @@
 )
 
 const (
-	// reportLife is how long an upstream's figures are believed: five reports at the usual 200 ms.
-	reportLife = time.Second
-	// suspectBase is how long an upstream is left alone after a first failure, and suspectMost bounds the doubling.
-	suspectBase = 400 * time.Millisecond
-	suspectMost = 4 * time.Second
-	// stallBase is the same for an upstream that let a request wait far beyond its predicted time: what is slow, cut
-	// off or frozen stays so for seconds.
-	stallBase = 1500 * time.Millisecond
-	// shareOfAll is how many gateways are taken to send as much as this one to an upstream whose own figures are not
-	// known; today's deployments have six or seven.
-	shareOfAll = 6
+	// reportTTL is how long an upstream's report is used: five reports at the usual interval of 200 ms.
+	reportTTL = time.Second
+	// suspectBackoff is how long an upstream is avoided after a first failure; it doubles with each further one up to
+	// maxSuspectBackoff.
+	suspectBackoff    = 400 * time.Millisecond
+	maxSuspectBackoff = 4 * time.Second
+	// stallBackoff replaces suspectBackoff for an upstream whose first event is long overdue: a slow, disconnected or
+	// frozen upstream stays so for seconds.
+	stallBackoff = 1500 * time.Millisecond
+	// assumedPeers is the number of gateways assumed to send as much as this one to an upstream without a fresh report;
+	// typical deployments have six or seven gateways.
+	assumedPeers = 6
 )
 
-// LoadReport is what an upstream's stager says of it.
+// LoadReport is a report of the stager beside an upstream on the upstream's load and state.
 type LoadReport struct {
-	// Incarnation is the start of the upstream that the figures are of; 0 where that is not known.
+	// Incarnation is the process lifetime of the upstream that the figures belong to; 0 if unknown.
 	Incarnation      id.Birth
 	Running, Waiting int
 	Slowdown         float64
 	Held             []facts.Held
 	Closed           bool
 	Down             bool
-	// Leaving is true while the upstream says that it is about to end.
+	// Leaving is true while the upstream announces its shutdown.
 	Leaving bool
-	// Congested is true while requests queue on their way to the upstream.
+	// Congested is true while requests queue on the network path to the upstream.
 	Congested bool
-	// ConfigVersion is the version of the configuration that the upstream's VM has; 0 where that is not known.
+	// ConfigVersion is the configuration version of the upstream's VM; 0 if unknown.
 	ConfigVersion uint64
-	// ReceivedAt is when the report came, and EchoedStamp a moment after which it was made; zero where none is known.
+	// ReceivedAt is when the report arrived. EchoedStamp is the send time of the newest probe that the stager had
+	// received when it made the report; zero if there is none.
 	ReceivedAt, EchoedStamp time.Time
-	// StampHeldFor is how long the stager had had the stamp of EchoedStamp by then, and Interval how far apart its reports are.
+	// StampHeldFor is the time between the stager's receipt of that probe and the report, and Interval the time between
+	// its reports.
 	StampHeldFor, Interval time.Duration
-	// ValidUntil is when it is no longer believed; zero is reportLife after it was taken.
+	// ValidUntil is when the report expires; zero stands for reportTTL after ReceivedAt.
 	ValidUntil time.Time
-	// Limit is what it tells of the upstream's limit.
+	// Limit is the stager's announcement of the upstream's rate limit.
 	Limit throttle.Announcement
 }
 
-// sent is one request of this process at an upstream.
-type sent struct {
-	at      time.Time
-	tokens  float64
-	started bool
+// sentRequest is one request of this process at an upstream.
+type sentRequest struct {
+	sentAt       time.Time
+	promptTokens float64
+	hasStarted   bool
 }
 
-// upstream is what the tracker keeps of one start of the upstream at an address.
+// upstream is the tracker's state for one process lifetime of the upstream at an address.
 type upstream struct {
-	born     id.Birth
-	report   LoadReport
-	sent     map[*sent]struct{}
-	failures int
-	until    time.Time
-	way      Path
-	// limit is nil while the upstream is not known to have one.
+	incarnation  id.Birth
+	report       LoadReport
+	inFlight     map[*sentRequest]struct{}
+	failures     int
+	suspectUntil time.Time
+	path         Path
+	// limit is nil while the upstream is not known to have a rate limit.
 	limit *throttle.KnownLimit
-	// limited is the instance that the limit is of; nil before one was looked at.
-	limited *facts.Instance
-	// rest is what an instance at the address has asked for.
+	// limitedInstance is the instance that the rate limit applies to; nil before the first lookup.
+	limitedInstance *facts.Instance
+	// rest is the rest period that an instance at the address has asked for.
 	rest rest
-	// used is when a request was last sent.
-	used time.Time
+	// lastSent is when a request was last sent.
+	lastSent time.Time
 }
 
-// Tracker follows this process's own requests at each upstream, and what upstreams say. It is safe for concurrent use.
+// Tracker records this process's own requests at each upstream, and the upstreams' reports. It is safe for concurrent
+// use.
 type Tracker struct {
 	// Gateways returns the number of processes that send to the same upstreams; it is set before use.
 	Gateways func() int
 
-	now   func() time.Time
-	mu    sync.Mutex
-	known map[string]*upstream
+	now       func() time.Time
+	mu        sync.Mutex
+	upstreams map[string]*upstream
 }
 
-// NewTracker makes an empty tracker.
+// NewTracker returns a tracker without upstreams.
 func NewTracker(now func() time.Time) *Tracker {
-	return &Tracker{Gateways: func() int { return shareOfAll + 1 }, now: now, known: map[string]*upstream{}}
+	return &Tracker{Gateways: func() int { return assumedPeers + 1 }, now: now, upstreams: map[string]*upstream{}}
 }
 
-func (t *Tracker) at(address string) *upstream {
-	u := t.known[address]
+func (t *Tracker) entry(address string) *upstream {
+	u := t.upstreams[address]
 	if u == nil {
-		u = &upstream{sent: map[*sent]struct{}{}}
-		t.known[address] = u
+		u = &upstream{inFlight: map[*sentRequest]struct{}{}}
+		t.upstreams[address] = u
 	}
 	return u
 }
 
-// start returns what is kept of an address once a start of the upstream there has been heard of. A later start begins with
-// nothing: requests, failures and figures were of the one before, whose requests still hold what was kept of it. It is nil for
-// a start that is known to be over. The caller holds the lock.
-func (t *Tracker) start(address string, born id.Birth) *upstream {
-	u := t.at(address)
+// entryOf returns the entry of an address for a process lifetime of its upstream. A later lifetime begins with an empty
+// entry, since requests, failures and reports belonged to the previous one; requests of that one keep their entry. It
+// returns nil for a lifetime known to be over. The caller holds the lock.
+func (t *Tracker) entryOf(address string, incarnation id.Birth) *upstream {
+	u := t.entry(address)
 	switch {
-	case born.Before(u.born):
+	case incarnation.Before(u.incarnation):
 		return nil
-	case u.born.Before(born):
-		u = &upstream{sent: map[*sent]struct{}{}, way: u.way}
-		t.known[address] = u
+	case u.incarnation.Before(incarnation):
+		u = &upstream{inFlight: map[*sentRequest]struct{}{}, path: u.path}
+		t.upstreams[address] = u
 	}
-	u.born = max(u.born, born)
+	u.incarnation = max(u.incarnation, incarnation)
 	return u
 }
 
-// listed returns what is kept of an upstream that the list has, which may have an earlier start of it. The caller holds the lock.
-func (t *Tracker) listed(i *facts.Instance) *upstream {
-	if u := t.known[i.Address]; u != nil && i.Born <= u.born {
+// entryOfInstance returns the entry of a listed upstream. The list may still show an earlier lifetime than the entry.
+// The caller holds the lock.
+func (t *Tracker) entryOfInstance(i *facts.Instance) *upstream {
+	if u := t.upstreams[i.Address]; u != nil && i.Born <= u.incarnation {
 		return u
 	}
-	t.start(i.Address, i.Born)
-	return t.at(i.Address)
+	t.entryOf(i.Address, i.Born)
+	return t.entry(i.Address)
 }
 
-// SetReport takes an upstream's figures, unless they are of an earlier start of it than is known.
+// SetReport stores an upstream's report, unless it is of an earlier process lifetime than the known one.
 func (t *Tracker) SetReport(address string, r LoadReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if u := t.start(address, r.Incarnation); u != nil {
+	if u := t.entryOf(address, r.Incarnation); u != nil {
 		u.report = r
-		u.hearLimit(r.Limit, r.ReceivedAt)
-		u.way.RecordEcho(r.EchoedStamp, r.StampHeldFor, r.Interval, t.now())
+		u.applyLimit(r.Limit, r.ReceivedAt)
+		u.path.RecordEcho(r.EchoedStamp, r.StampHeldFor, r.Interval, t.now())
 	}
 }
 
-// RecordProbe notes that a stamp was sent to the stager beside an upstream.
+// RecordProbe records that a probe with the given timestamp was sent to the stager beside an upstream.
 func (t *Tracker) RecordProbe(address string, stamp time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.at(address).way.RecordProbe(stamp)
+	t.entry(address).path.RecordProbe(stamp)
 }
 
-// FreshReport returns an upstream's report if it is new enough to be believed.
+// FreshReport returns an upstream's report if that has not expired.
 func (t *Tracker) FreshReport(address string) (LoadReport, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.known[address]
-	if u == nil || !u.report.believed(t.now()) {
+	u := t.upstreams[address]
+	if u == nil || !u.report.isFresh(t.now()) {
 		return LoadReport{}, false
 	}
 	return u.report, true
 }
 
-// Report returns the report of an upstream that the list has, and whether it is new enough to be believed. Without one the
-// report tells only the newest start that is known there: the list's entry may be of the one before.
+// Report returns the report of a listed upstream, and whether it is fresh. If it is not, the result holds only the
+// newest known process lifetime there, which the list may not show yet.
 func (t *Tracker) Report(i *facts.Instance) (LoadReport, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.listed(i)
-	if !u.report.believed(t.now()) {
-		return LoadReport{Incarnation: u.born}, false
+	u := t.entryOfInstance(i)
+	if !u.report.isFresh(t.now()) {
+		return LoadReport{Incarnation: u.incarnation}, false
 	}
 	r := u.report
-	r.Incarnation = u.born
+	r.Incarnation = u.incarnation
 	return r, true
 }
 
-// believed says whether a report is new enough.
-func (r *LoadReport) believed(now time.Time) bool {
+// isFresh reports whether a report has not expired.
+func (r *LoadReport) isFresh(now time.Time) bool {
 	if r.ValidUntil.IsZero() {
-		return now.Sub(r.ReceivedAt) <= reportLife
+		return now.Sub(r.ReceivedAt) <= reportTTL
 	}
 	return !now.After(r.ValidUntil)
 }
 
-// usedFor is how long after a request an upstream counts as used: callers come back within about that.
-const usedFor = 2 * time.Second
+// recentUse is how long after a request an upstream counts as used; callers return within about that time.
+const recentUse = 2 * time.Second
 
-// RecentlyUsed says whether requests of this process are at an upstream, or were sent there lately.
+// RecentlyUsed reports whether this process has requests in flight at an upstream, or sent it one recently.
 func (t *Tracker) RecentlyUsed(address string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.known[address]
-	return u != nil && (len(u.sent) > 0 || t.now().Sub(u.used) < usedFor)
+	u := t.upstreams[address]
+	return u != nil && (len(u.inFlight) > 0 || t.now().Sub(u.lastSent) < recentUse)
 }
 
-// Attempt is a request at an upstream.
+// Attempt is a request in flight to an upstream.
 type Attempt struct {
 	tracker  *Tracker
 	upstream *upstream
-	sent     *sent
+	request  *sentRequest
 }
 
-// Begin notes a request that is about to be sent.
+// Begin records a request that is about to be sent.
 func (t *Tracker) Begin(address string, tokens float64) *Attempt {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.at(address)
-	s := &sent{at: t.now(), tokens: tokens}
-	u.sent[s], u.used = struct{}{}, s.at
+	u := t.entry(address)
+	s := &sentRequest{sentAt: t.now(), promptTokens: tokens}
+	u.inFlight[s], u.lastSent = struct{}{}, s.sentAt
 	if u.limit != nil {
 		u.limit.CountSent()
 	}
-	return &Attempt{tracker: t, upstream: u, sent: s}
+	return &Attempt{tracker: t, upstream: u, request: s}
 }
 
-// RecordFirstEvent notes the first event and returns the time that it took. How long requests took of late is no part of a prediction:
-// an upstream's own report tells its pace, and a gateway that took all for slow, from a queue that is long over, would send
-// them nothing and never learn better.
+// RecordFirstEvent records the first event and returns the time that it took. Observed times are not used for
+// predictions: an upstream's own reports give its slowdown, and a gateway that took all upstreams for slow because of a
+// past queue would send them nothing and never correct that.
 func (f *Attempt) RecordFirstEvent() time.Duration {
 	t := f.tracker
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	took := t.now().Sub(f.sent.at)
-	f.sent.started = true
+	took := t.now().Sub(f.request.sentAt)
+	f.request.hasStarted = true
 	f.upstream.failures = 0
 	return took
 }
 
-// End notes that the request is over.
+// End records that the request has ended.
 func (f *Attempt) End() {
 	f.tracker.mu.Lock()
 	defer f.tracker.mu.Unlock()
-	delete(f.upstream.sent, f.sent)
+	delete(f.upstream.inFlight, f.request)
 }
 
-// RecordFailure notes that the upstream failed the request, and leaves it alone for a while.
+// RecordFailure records that the upstream failed the request, and makes it a suspect for a time.
 func (f *Attempt) RecordFailure() {
-	f.suspect(suspectBase)
+	f.markSuspect(suspectBackoff)
 }
 
-// RecordStall notes that the upstream let the request wait, and leaves it alone for longer.
+// RecordStall records that the upstream's first event is overdue, and makes it a suspect for a longer time.
 func (f *Attempt) RecordStall() {
-	f.suspect(stallBase)
+	f.markSuspect(stallBackoff)
 }
 
-func (f *Attempt) suspect(base time.Duration) {
+func (f *Attempt) markSuspect(base time.Duration) {
 	t, u := f.tracker, f.upstream
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	d := base << min(u.failures, 4)
 	u.failures++
-	u.until = t.now().Add(min(d, suspectMost))
+	u.suspectUntil = t.now().Add(min(d, maxSuspectBackoff))
 }
 
-// Candidate fills in what the tracker knows of an upstream. The usual prompt stands in for those of other processes.
+// Candidate returns the known state of an upstream. The usual prompt length is assumed for requests of other processes.
 func (t *Tracker) Candidate(i *facts.Instance, usualPrompt float64) Candidate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
 	c := Candidate{Instance: i.ID, Address: i.Address, Domain: i.Domain, Slots: i.Slots, Slowdown: 1, Incarnation: i.Born}
-	u := t.listed(i)
-	c.Incarnation = max(c.Incarnation, u.born)
-	c.InFlight, c.Path = len(u.sent), u.way
-	c.Suspect, c.Rest = now.Before(u.until), u.rest.left(i.ID, now)
-	c.Fresh = u.report.believed(now)
+	u := t.entryOfInstance(i)
+	c.Incarnation = max(c.Incarnation, u.incarnation)
+	c.InFlight, c.Path = len(u.inFlight), u.path
+	c.Suspect, c.Rest = now.Before(u.suspectUntil), u.rest.remaining(i.ID, now)
+	c.Fresh = u.report.isFresh(now)
 	if u.limit != nil {
-		t.limit(&c, u, i)
+		t.fillLimit(&c, u, i)
 	}
 	if !c.Fresh {
-		c.Waiting = shareOfAll * len(u.sent)
-		for s := range u.sent {
-			if !s.started {
-				c.Backlog += shareOfAll * s.tokens
+		c.Waiting = assumedPeers * len(u.inFlight)
+		for s := range u.inFlight {
+			if !s.hasStarted {
+				c.Backlog += assumedPeers * s.promptTokens
 			}
 		}
 		return c
@@ -272,40 +277,40 @@
 	c.Running, c.Waiting = u.report.Running, u.report.Waiting
 	c.Slowdown = max(1, u.report.Slowdown)
 	c.Backlog = float64(u.report.Waiting) * usualPrompt
-	for s := range u.sent {
-		if s.at.After(u.report.ReceivedAt) {
+	for s := range u.inFlight {
+		if s.sentAt.After(u.report.ReceivedAt) {
 			c.Waiting++
-			c.Backlog += s.tokens
+			c.Backlog += s.promptTokens
 		}
 	}
 	return c
 }
 
-// wayMemory is how long the way to an upstream is remembered that is no longer listed: heartbeats of a VM behind a
-// narrow link come late over that very link, and its entry goes for a second or two. It is above the 8 to 14 s that
-// users give a version's end, for which a queue counts.
-const wayMemory = 15 * time.Second
+// pathRetention is how long the network path to an upstream is remembered that is no longer listed. Heartbeats of a VM
+// behind a congested link are delayed on that link, so that its entry disappears for a second or two. It is above the 8
+// to 14 s that users set for a version's lifetime after its successor, during which a queue counts.
+const pathRetention = 15 * time.Second
 
-// Sweep forgets upstreams that are no longer listed and carry nothing, but for ways on which something has queued lately and
-// for instances that rest.
+// Sweep removes upstreams that are no longer listed and have no requests in flight, except for those with a recently
+// congested path and those that are resting.
 func (t *Tracker) Sweep(listed map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	for a, u := range t.known {
-		if !listed[a] && len(u.sent) == 0 && now.Sub(u.way.slow) > wayMemory && !now.Before(u.rest.until) {
-			delete(t.known, a)
+	for address, u := range t.upstreams {
+		if !listed[address] && len(u.inFlight) == 0 && now.Sub(u.path.lastSlow) > pathRetention && !now.Before(u.rest.until) {
+			delete(t.upstreams, address)
 		}
 	}
 }
 
-// PoolInstances lists the upstreams of a pool.
-func PoolInstances(l []*facts.Instance, p id.Pool) []*facts.Instance {
-	var of []*facts.Instance
-	for _, i := range l {
-		if i.Pool == p {
-			of = append(of, i)
+// PoolInstances returns the upstreams of a pool.
+func PoolInstances(instances []*facts.Instance, pool id.Pool) []*facts.Instance {
+	var matching []*facts.Instance
+	for _, i := range instances {
+		if i.Pool == pool {
+			matching = append(matching, i)
 		}
 	}
-	return of
+	return matching
 }
