--- a/internal/decide/clock.go
+++ b/internal/decide/clock.go
@@ -5,47 +5,48 @@
 	"time"
 )
 
-// clock is virtual time: it runs what is due in order, and what is due at once in the order in which it was set.
+// clock is a discrete-event scheduler in virtual time: it runs timers in the order of their due times, and those due at
+// the same time in the order in which they were set.
 type clock struct {
-	start time.Time
-	at    time.Duration
-	count uint64
-	queue alarms
+	start    time.Time
+	elapsed  time.Duration
+	sequence uint64
+	timers   timerHeap
 }
 
-// alarm is something that is due.
-type alarm struct {
-	at    time.Duration
-	count uint64
-	do    func()
+// timer is a callback with its due time.
+type timer struct {
+	due      time.Duration
+	sequence uint64
+	callback func()
 }
 
-// stop keeps an alarm from being carried out.
-func (a *alarm) stop() {
+// stop cancels a timer.
+func (a *timer) stop() {
 	if a != nil {
-		a.do = nil
+		a.callback = nil
 	}
 }
 
-// alarms is a heap by time.
-type alarms []*alarm
+// timerHeap is a heap of timers by due time.
+type timerHeap []*timer
 
-func (l alarms) Len() int { return len(l) }
+func (l timerHeap) Len() int { return len(l) }
 
-func (l alarms) Less(i, j int) bool {
-	if l[i].at != l[j].at {
-		return l[i].at < l[j].at
+func (l timerHeap) Less(i, j int) bool {
+	if l[i].due != l[j].due {
+		return l[i].due < l[j].due
 	}
-	return l[i].count < l[j].count
+	return l[i].sequence < l[j].sequence
 }
 
-func (l alarms) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
+func (l timerHeap) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
 
 // Push implements heap.Interface.
-func (l *alarms) Push(x any) { *l = append(*l, x.(*alarm)) }
+func (l *timerHeap) Push(x any) { *l = append(*l, x.(*timer)) }
 
 // Pop implements heap.Interface.
-func (l *alarms) Pop() any {
+func (l *timerHeap) Pop() any {
 	old := *l
 	last := old[len(old)-1]
 	*l = old[:len(old)-1]
@@ -56,37 +57,37 @@
 	return &clock{start: time.Unix(1_000_000, 0)}
 }
 
-// now is the time as the decisions see it.
+// now returns the virtual time as a time of day, for code that takes one.
 func (c *clock) now() time.Time {
-	return c.start.Add(c.at)
+	return c.start.Add(c.elapsed)
 }
 
-// since is a time of the decisions as one of the play.
+// since converts such a time of day to virtual time since the start.
 func (c *clock) since(t time.Time) time.Duration {
 	return t.Sub(c.start)
 }
 
-// after sets an alarm.
-func (c *clock) after(d time.Duration, do func()) *alarm {
-	return c.on(c.at+max(0, d), do)
+// after sets a timer that is due after d.
+func (c *clock) after(d time.Duration, do func()) *timer {
+	return c.schedule(c.elapsed+max(0, d), do)
 }
 
-// on sets an alarm for a time, or for now where that has passed.
-func (c *clock) on(at time.Duration, do func()) *alarm {
-	c.count++
-	a := &alarm{at: max(at, c.at), count: c.count, do: do}
-	heap.Push(&c.queue, a)
+// schedule sets a timer for a virtual time, or for the present if that has passed.
+func (c *clock) schedule(due time.Duration, do func()) *timer {
+	c.sequence++
+	a := &timer{due: max(due, c.elapsed), sequence: c.sequence, callback: do}
+	heap.Push(&c.timers, a)
 	return a
 }
 
-// run carries out what is due until nothing is.
+// run runs timers until none remains.
 func (c *clock) run() {
-	for len(c.queue) > 0 {
-		a := heap.Pop(&c.queue).(*alarm)
-		if a.do == nil {
+	for len(c.timers) > 0 {
+		a := heap.Pop(&c.timers).(*timer)
+		if a.callback == nil {
 			continue
 		}
-		c.at = a.at
-		a.do()
+		c.elapsed = a.due
+		a.callback()
 	}
 }
--- a/internal/decide/compare.go
+++ b/internal/decide/compare.go
@@ -8,22 +8,24 @@
 	"github.com/gravitational/trace"
 )
 
-// Difference is one way against another on the same seeds.
+// Difference is the comparison of a variant with the baseline on the same seeds.
 type Difference struct {
 	Variant string `json:"way"`
 	Seeds   int    `json:"seeds"`
-	// Mean is that of the differences of worth seed by seed, and Half half its interval, within which the true mean lies with 95%.
+	// Mean is the mean of the per-seed differences in score, and HalfInterval half the width of its 95% confidence
+	// interval.
 	Mean         float64 `json:"mean"`
 	HalfInterval float64 `json:"half"`
-	// Worth and Base are the mean worths.
+	// Worth and Base are the mean scores of the variant and of the baseline.
 	Worth float64 `json:"worth"`
 	Base  float64 `json:"base"`
 }
 
-// normal95 is half the interval of 95% in deviations; below 20 seeds the true interval is wider by a tenth and more.
+// normal95 is half the width of the 95% confidence interval in standard deviations of a normal distribution; below 20
+// seeds the true interval is wider by a tenth or more.
 const normal95 = 1.96
 
-// ComparePaired compares two lists of results of the same seeds.
+// ComparePaired compares two lists of results of the same seeds, pair by pair.
 func ComparePaired(base, other []*Result) Difference {
 	n := float64(len(base))
 	d := Difference{Seeds: len(base)}
@@ -42,31 +44,32 @@
 	return d
 }
 
-// Run plays each way on each seed from first on, as many plays at once as there are jobs, and returns the results by way.
-func Run(ctx context.Context, s *Scenario, ways []*Variant, first uint64, seeds, jobs int) ([][]*Result, error) {
-	rows := make([][]*Result, len(ways))
-	type task struct{ way, seed int }
-	todo := make(chan task)
-	var all sync.WaitGroup
+// Run simulates each variant on each seed from firstSeed on, with up to jobs simulations in parallel, and returns the
+// results by variant.
+func Run(ctx context.Context, s *Scenario, variants []*Variant, firstSeed uint64, seeds, jobs int) ([][]*Result, error) {
+	results := make([][]*Result, len(variants))
+	type task struct{ variant, seed int }
+	tasks := make(chan task)
+	var workers sync.WaitGroup
 	for range max(1, jobs) {
-		all.Go(func() {
-			for t := range todo {
-				rows[t.way][t.seed] = Simulate(s, ways[t.way], first+uint64(t.seed))
+		workers.Go(func() {
+			for t := range tasks {
+				results[t.variant][t.seed] = Simulate(s, variants[t.variant], firstSeed+uint64(t.seed))
 			}
 		})
 	}
-	for i := range ways {
-		rows[i] = make([]*Result, seeds)
+	for i := range variants {
+		results[i] = make([]*Result, seeds)
 	}
 	for n := range seeds {
-		for i := range ways {
+		for i := range variants {
 			select {
 			case <-ctx.Done():
-			case todo <- task{i, n}:
+			case tasks <- task{i, n}:
 			}
 		}
 	}
-	close(todo)
-	all.Wait()
-	return rows, trace.Wrap(ctx.Err())
+	close(tasks)
+	workers.Wait()
+	return results, trace.Wrap(ctx.Err())
 }
--- a/internal/decide/doc.go
+++ b/internal/decide/doc.go
@@ -1,4 +1,5 @@
-// Package decide plays gateways, engines and callers in virtual time, so that two ways to decide can be held against each other
-// on the same arrivals within seconds. What a gateway decides, it decides by the code of a real one (gateway.Balancer, placement,
-// swapplan); engines, links, reports, callers and the arrival of versions are models. A gain that shows here alone is none.
+// Package decide simulates gateways, engines and callers in virtual time, to compare variants of the gateways' decisions
+// on the same arrivals within seconds. Simulated gateways decide with the code of real ones (gateway.Balancer,
+// placement, swapplan); engines, links, reports, callers and the arrival of versions are models. An improvement that
+// shows only here is not evidence by itself.
 package decide
--- a/internal/decide/draw.go
+++ b/internal/decide/draw.go
@@ -5,7 +5,8 @@
 	"math/rand/v2"
 )
 
-// The streams of randomness: callers come the same whatever is decided, so that two ways are compared on the same ones.
+// Independent random streams by purpose: callers arrive identically whatever is decided, so that variants are compared
+// on the same arrivals.
 const (
 	seedCallers = iota + 1
 	seedLinks
@@ -15,19 +16,20 @@
 	seedUpstreams
 )
 
-func stream(seed uint64, of uint64) *rand.Rand {
-	return rand.New(rand.NewPCG(seed, of))
+func randomStream(seed uint64, purpose uint64) *rand.Rand {
+	return rand.New(rand.NewPCG(seed, purpose))
 }
 
-// draw draws a size: log-normal by its mean and spread, and again where it is above the bound, a few times.
+// draw draws a size from a log-normal distribution with the given mean and deviation. Values above the bound are redrawn
+// a few times.
 func (s Size) draw(r *rand.Rand) float64 {
 	if s.RelativeDeviation <= 0 {
 		return s.Mean
 	}
-	const tries = 8
+	const maxDraws = 8
 	variance := math.Log(1 + s.RelativeDeviation*s.RelativeDeviation)
 	var x float64
-	for range tries {
+	for range maxDraws {
 		x = s.Mean * math.Exp(math.Sqrt(variance)*r.NormFloat64()-variance/2)
 		if s.Max <= 0 || x <= s.Max {
 			return x
@@ -36,9 +38,9 @@
 	return s.Max
 }
 
-// demand is the requests of a play as their callers bring them.
-func (s *Scenario) demand(seed uint64) []*request {
-	r, clients := stream(seed, seedCallers), stream(seed, seedClients)
+// generateRequests returns the requests of a simulation in the order of their failure domains and arrivals.
+func (s *Scenario) generateRequests(seed uint64) []*request {
+	r, clients := randomStream(seed, seedCallers), randomStream(seed, seedClients)
 	var l []*request
 	total := 0.0
 	for i := range s.Kinds {
@@ -46,28 +48,28 @@
 	}
 	for di := range s.Domains {
 		d := &s.Domains[di]
-		homes := make([]int, d.Clients)
-		for i := range homes {
-			homes[i] = clients.IntN(d.Gateways)
+		homeGateways := make([]int, d.Clients)
+		for i := range homeGateways {
+			homeGateways[i] = clients.IntN(d.Gateways)
 		}
-		peak := d.RequestsPerSecond * s.highest()
+		peak := d.RequestsPerSecond * s.maxLoadFactor()
 		if peak <= 0 {
 			continue
 		}
 		for at := r.ExpFloat64() / peak; at < s.Seconds; at += r.ExpFloat64() / peak {
-			q := &request{domain: di, at: seconds(at), home: homes[r.IntN(len(homes))]}
-			thin, of := r.Float64(), r.Float64()*total
+			q := &request{domain: di, arrivedAt: seconds(at), homeGateway: homeGateways[r.IntN(len(homeGateways))]}
+			acceptance, kindDraw := r.Float64(), r.Float64()*total
 			for ki := range s.Kinds {
 				q.kind = &s.Kinds[ki]
-				if of -= s.Kinds[ki].Share; of < 0 {
+				if kindDraw -= s.Kinds[ki].Share; kindDraw < 0 {
 					break
 				}
 			}
 			q.prompt = math.Max(1, math.Round(q.kind.Prompt.draw(r)))
 			q.events = int(math.Max(1, math.Round(q.kind.Events.draw(r))))
-			q.elsewhere = r.IntN(max(1, d.Gateways-1))
+			q.otherGateway = r.IntN(max(1, d.Gateways-1))
 			q.abusive = r.Float64() < s.AbusiveShare
-			if thin < s.load(at)/s.highest() {
+			if acceptance < s.loadFactor(at)/s.maxLoadFactor() {
 				l = append(l, q)
 			}
 		}
--- a/internal/decide/engine.go
+++ b/internal/decide/engine.go
@@ -10,191 +10,195 @@
 
 // job is a request at an engine.
 type job struct {
-	send *send
-	// unread is the tokens of the prompt that are still to be read, context those that are held, and left the events to come.
+	attempt *upstreamAttempt
+	// unread is the number of prompt tokens still to be read, context the number of tokens in the context, and remaining
+	// the number of events still to be generated.
 	unread, context float64
-	left            int
-	// started says that its first event was made.
-	writing, started, gone bool
+	remaining       int
+	// decoding is true once the prompt has been read, started once the first event was generated, and cancelled once
+	// nobody waits for the response.
+	decoding, started, cancelled bool
 }
 
-// engine reads prompts piece by piece between the steps of what it writes, as many requests at once as it has places.
+// engine reads prompts in chunks between its decoding steps, and runs as many requests concurrently as it has slots.
 type engine struct {
-	play    *play
+	sim     *simulation
 	name    id.Instance
 	address string
 	domain  id.Domain
 	born    id.Birth
-	// up is false after a crash, closed while its stager lets nothing in, and loading while the engine takes nothing.
+	// up is false after a crash, closed is true while its stager admits no requests, and loading while the engine itself
+	// takes none.
 	up, closed, loading bool
 	held, staged        id.Revision
-	queue, places       []*job
+	queue, running      []*job
 	busy                bool
-	passing             *alarm
-	// begun counts the requests that it has taken up.
-	begun int
-	reporting
-	swap
+	passTimer           *timer
+	// startedRequests counts the requests that have occupied a slot.
+	startedRequests int
+	reporter
+	versionSwap
 }
 
-// holds is the version as reports and the list tell it.
-func (e *engine) holds() []facts.Held {
+// heldVersions returns the served version in the form of reports and the instance list.
+func (e *engine) heldVersions() []facts.Held {
 	if e.held == 0 {
 		return nil
 	}
 	return []facts.Held{{Model: model, Revision: e.held}}
 }
 
-// engine finds an engine by its name.
-func (p *play) engine(n id.Instance) *engine {
+// engineByName returns the engine of an instance.
+func (p *simulation) engineByName(n id.Instance) *engine {
 	i := slices.IndexFunc(p.engines, func(e *engine) bool { return e.name == n })
 	return p.engines[i]
 }
 
-// take lets a request in, or says that it does not run.
-func (e *engine) take(j *job) {
-	s := &e.play.scenario.Engine
+// accept queues a request, or refuses it.
+func (e *engine) accept(j *job) {
+	s := &e.sim.scenario.Engine
 	switch {
-	case j.gone:
+	case j.cancelled:
 	case !e.up:
-		j.send.unsent()
-	case e.loading || len(e.queue) >= s.Queue && len(e.places) >= s.Slots:
-		j.send.refused()
+		j.attempt.onConnectFailed()
+	case e.loading || len(e.queue) >= s.Queue && len(e.running) >= s.Slots:
+		j.attempt.onRefused()
 	default:
 		e.queue = append(e.queue, j)
-		e.kick()
+		e.startPass()
 	}
 }
 
-// drop ends a request that nobody waits for.
-func (e *engine) drop(j *job) {
-	j.gone = true
+// cancel removes a request whose gateway has closed the connection.
+func (e *engine) cancel(j *job) {
+	j.cancelled = true
 	e.queue = slices.DeleteFunc(e.queue, func(o *job) bool { return o == j })
 	if !e.busy {
-		e.clear()
+		e.removeFinished()
 	}
 }
 
-// clear takes what has gone or is done off its places.
-func (e *engine) clear() {
-	e.places = slices.DeleteFunc(e.places, func(j *job) bool { return j.gone || j.left <= 0 })
+// removeFinished frees the slots of cancelled and completed requests.
+func (e *engine) removeFinished() {
+	e.running = slices.DeleteFunc(e.running, func(j *job) bool { return j.cancelled || j.remaining <= 0 })
 }
 
-// kick begins a pass where there is something to do.
-func (e *engine) kick() {
-	s := &e.play.scenario.Engine
+// startPass starts the next pass if there is a request to run.
+func (e *engine) startPass() {
+	s := &e.sim.scenario.Engine
 	if e.busy || !e.up {
 		return
 	}
-	for len(e.queue) > 0 && len(e.places) < s.Slots {
-		e.places = append(e.places, e.queue[0])
+	for len(e.queue) > 0 && len(e.running) < s.Slots {
+		e.running = append(e.running, e.queue[0])
 		e.queue = e.queue[1:]
-		e.begun++
+		e.startedRequests++
 	}
-	if len(e.places) == 0 {
+	if len(e.running) == 0 {
 		return
 	}
 	e.busy = true
-	e.passing = e.play.after(e.pass(), e.passed)
+	e.passTimer = e.sim.after(e.runPass(), e.endPass)
 }
 
-// pass reads up to a chunk of the prompts, the oldest first, and says how long that and a stride of steps take.
-func (e *engine) pass() time.Duration {
-	s := &e.play.scenario.Engine
-	left := float64(s.Chunk)
+// runPass reads up to a chunk of prompt tokens, the oldest requests first, and returns how long that and a stride of
+// decoding steps take.
+func (e *engine) runPass() time.Duration {
+	s := &e.sim.scenario.Engine
+	chunkRemaining := float64(s.Chunk)
 	read, pairs, context := 0.0, 0.0, 0.0
-	writers, firsts := 0, 0
-	for _, j := range e.places {
-		if j.unread > 0 && left > 0 {
-			n := min(left, j.unread)
-			before := j.context - j.unread
-			pairs += n * (before + n/2)
+	decoding, firstEvents := 0, 0
+	for _, j := range e.running {
+		if j.unread > 0 && chunkRemaining > 0 {
+			n := min(chunkRemaining, j.unread)
+			readBefore := j.context - j.unread
+			pairs += n * (readBefore + n/2)
 			j.unread -= n
-			read, left = read+n, left-n
+			read, chunkRemaining = read+n, chunkRemaining-n
 		}
 		if j.unread <= 0 {
-			if !j.writing {
-				firsts++
+			if !j.decoding {
+				firstEvents++
 			}
-			j.writing = true
-			writers++
+			j.decoding = true
+			decoding++
 			context += j.context
 		}
 	}
-	d := read/s.ReadPerS*1000 + pairs/1e6*s.MsPerMPairs + float64(firsts)*s.PerRequestMs
-	if writers > 0 {
-		d += float64(s.Stride) * (s.StepMs + float64(writers)*s.PerSeqMs + context/1000*s.ContextPerKMs)
+	d := read/s.ReadPerS*1000 + pairs/1e6*s.MsPerMPairs + float64(firstEvents)*s.PerRequestMs
+	if decoding > 0 {
+		d += float64(s.Stride) * (s.StepMs + float64(decoding)*s.PerSeqMs + context/1000*s.ContextPerKMs)
 	}
 	return ms(d)
 }
 
-// passed gives each writer its event and begins the next pass.
-func (e *engine) passed() {
+// endPass emits an event for each decoding request and starts the next pass.
+func (e *engine) endPass() {
 	e.busy = false
-	for _, j := range e.places {
-		if j.writing && !j.gone {
-			e.event(j)
+	for _, j := range e.running {
+		if j.decoding && !j.cancelled {
+			e.emitEvent(j)
 		}
 	}
-	e.clear()
-	e.idle()
-	e.kick()
+	e.removeFinished()
+	e.loadIfIdle()
+	e.startPass()
 }
 
-// event makes one event of an answer.
-func (e *engine) event(j *job) {
-	p, s := e.play, j.send
-	f := s.flight
+// emitEvent generates one event of a response.
+func (e *engine) emitEvent(j *job) {
+	p, s := e.sim, j.attempt
+	f := s.client
 	j.context += float64(p.scenario.Engine.Stride)
-	j.left--
-	if f.given > 0 {
-		f.request.gap = max(f.request.gap, p.at-f.last)
+	j.remaining--
+	if f.delivered > 0 {
+		f.request.longestGap = max(f.request.longestGap, p.elapsed-f.lastEvent)
 	}
-	f.given, f.last = f.given+1, p.at
+	f.delivered, f.lastEvent = f.delivered+1, p.elapsed
 	if !j.started {
 		j.started = true
-		if e.overdue() {
-			p.over++
+		if e.versionExpired() {
+			p.begunOnExpired++
 		}
-		s.reach(s.first)
+		s.toGateway(s.onFirstEvent)
 	}
-	if j.left <= 0 {
-		s.reach(s.whole)
+	if j.remaining <= 0 {
+		s.toGateway(s.onComplete)
 	}
 }
 
-// crashed ends all that runs: it stands still for a while before the gateways see that it is cut.
-func (e *engine) crashed() {
-	p := e.play
+// crash ends all requests of the engine. Gateways notice it only after a stall, as connections hang before they break.
+func (e *engine) crash() {
+	p := e.sim
 	e.up, e.closed, e.loading, e.busy, e.held = false, false, false, false, 0
-	e.passing.stop()
-	e.stopSwap()
-	running, waiting := e.places, e.queue
-	e.places, e.queue = nil, nil
+	e.passTimer.stop()
+	e.cancelSwap()
+	running, waiting := e.running, e.queue
+	e.running, e.queue = nil, nil
 	p.after(ms(p.scenario.Engine.StallMs), func() {
 		for _, j := range running {
-			if j.writing {
-				j.send.cut()
+			if j.decoding {
+				j.attempt.onCut()
 				continue
 			}
-			j.send.refused()
+			j.attempt.onRefused()
 		}
 		for _, j := range waiting {
-			j.send.refused()
+			j.attempt.onRefused()
 		}
 	})
 }
 
-// back starts the engine again with what lies beside it.
-func (e *engine) back() {
+// restart starts the engine again with the staged version.
+func (e *engine) restart() {
 	e.born++
 	e.up = true
-	e.play.after(ms(e.play.scenario.Engine.LoadMs), func() {
+	e.sim.after(ms(e.sim.scenario.Engine.LoadMs), func() {
 		e.held = e.staged
-		e.urgent()
-		for _, d := range e.play.doors {
-			d.list(e)
+		e.reportUrgently()
+		for _, d := range e.sim.gateways {
+			d.listEngine(e)
 		}
-		e.turn()
+		e.planSwap()
 	})
 }
--- a/internal/decide/report.go
+++ b/internal/decide/report.go
@@ -7,87 +7,89 @@
 )
 
 const (
-	// farLives is how many times the time to the next report a report from another failure domain is believed.
-	farLives = 2.5
-	// eachShare is the share of its requests beyond its failure domain from which on a gateway has each report of it.
-	eachShare = 0.1
-	// urgentReports is how often news is told: the first report may be lost.
-	urgentReports = 2
+	// remoteValidIntervals is how many report intervals a report from another failure domain stays valid.
+	remoteValidIntervals = 2.5
+	// fullRateShare is the share of its requests that a gateway must send to other failure domains to receive every
+	// report from there.
+	fullRateShare = 0.1
+	// urgentRepeats is how often a state change is reported to all gateways at once, as the first report may be lost.
+	urgentRepeats = 2
 )
 
-// reporting is an engine's stager as far as it reports.
-type reporting struct {
-	every  time.Duration
-	number int
-	left   int
+// reporter is the reporting part of an engine's stager.
+type reporter struct {
+	interval      time.Duration
+	reportCount   int
+	urgentPending int
 }
 
-// tick reports and sets the next report.
-func (e *engine) tick() {
-	if e.play.at > e.play.ends() {
+// reportPeriodically sends a report and schedules the next one.
+func (e *engine) reportPeriodically() {
+	if e.sim.elapsed > e.sim.endTime() {
 		return
 	}
 	e.report()
-	e.play.after(e.every, e.tick)
+	e.sim.after(e.interval, e.reportPeriodically)
 }
 
-// urgent tells all gateways at once, and once more.
-func (e *engine) urgent() {
-	e.left = urgentReports
+// reportUrgently sends a report to all gateways at once, and has the next periodic one sent to all as well.
+func (e *engine) reportUrgently() {
+	e.urgentPending = urgentRepeats
 	e.report()
 }
 
-// report tells gateways what the engine does; to those of other failure domains less often while only its load changes.
+// report sends the engine's load and state to gateways, at a lower rate to other failure domains while only the load
+// changes.
 func (e *engine) report() {
-	p := e.play
+	p := e.sim
 	s := &p.scenario.Reports
-	e.number++
-	far := max(1, int(s.RemoteIntervalMs/s.IntervalMs+0.5))
-	toAll := e.left > 0 || e.number%far == 0
-	if e.left > 0 {
-		e.left--
+	e.reportCount++
+	remoteEvery := max(1, int(s.RemoteIntervalMs/s.IntervalMs+0.5))
+	toAll := e.urgentPending > 0 || e.reportCount%remoteEvery == 0
+	if e.urgentPending > 0 {
+		e.urgentPending--
 	}
-	r := placement.LoadReport{Incarnation: e.born, Slowdown: 1, Held: e.holds(), Closed: e.closed, Down: !e.up}
-	for _, j := range e.places {
-		if j.writing && !j.gone {
+	r := placement.LoadReport{Incarnation: e.born, Slowdown: 1, Held: e.heldVersions(), Closed: e.closed, Down: !e.up}
+	for _, j := range e.running {
+		if j.decoding && !j.cancelled {
 			r.Running++
 		} else {
 			r.Waiting++
 		}
 	}
 	r.Waiting += len(e.queue)
-	for i := range p.byDomain {
-		e.tell(p.byDomain[i], r, toAll, ms(s.RemoteIntervalMs))
+	for i := range p.gatewaysByDomain {
+		e.deliver(p.gatewaysByDomain[i], r, toAll, ms(s.RemoteIntervalMs))
 	}
 }
 
-// tell brings a report to the gateways of a failure domain.
-func (e *engine) tell(l []*door, r placement.LoadReport, toAll bool, farEvery time.Duration) {
-	p := e.play
+// deliver sends a report to the gateways of a failure domain.
+func (e *engine) deliver(l []*simGateway, r placement.LoadReport, toAll bool, remoteInterval time.Duration) {
+	p := e.sim
 	if len(l) == 0 {
 		return
 	}
-	near := l[0].domain == e.domain
-	var to []*door
+	isLocal := l[0].domain == e.domain
+	var receivers []*simGateway
 	for _, d := range l {
-		each := d.offers.CrossDomain.Total() > eachShare*d.offers.Total()
-		if !near && !toAll && !each {
+		fullRate := d.demandMeter.CrossDomain.Total() > fullRateShare*d.demandMeter.Total()
+		if !isLocal && !toAll && !fullRate {
 			continue
 		}
-		if p.links.Float64() >= p.scenario.Reports.LossShare {
-			to = append(to, d)
+		if p.linkRandom.Float64() >= p.scenario.Reports.LossShare {
+			receivers = append(receivers, d)
 		}
 	}
-	if len(to) == 0 {
+	if len(receivers) == 0 {
 		return
 	}
-	made := p.now()
-	p.after(p.between(l[0].domain, e.domain), func() {
-		for _, d := range to {
+	madeAt := p.now()
+	p.after(p.oneWayDelay(l[0].domain, e.domain), func() {
+		for _, d := range receivers {
 			q := r
-			q.ReceivedAt, q.EchoedStamp, q.Interval = p.now(), made, e.every
-			if !near && d.offers.CrossDomain.Total() <= eachShare*d.offers.Total() {
-				q.ValidUntil = q.ReceivedAt.Add(time.Duration(farLives * float64(farEvery)))
+			q.ReceivedAt, q.EchoedStamp, q.Interval = p.now(), madeAt, e.interval
+			if !isLocal && d.demandMeter.CrossDomain.Total() <= fullRateShare*d.demandMeter.Total() {
+				q.ValidUntil = q.ReceivedAt.Add(time.Duration(remoteValidIntervals * float64(remoteInterval)))
 			}
 			d.tracker.SetReport(e.address, q)
 		}
--- a/internal/decide/request.go
+++ b/internal/decide/request.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// outcome is what a caller got in the end.
+// outcome is the final result of a request for its caller.
 type outcome uint8
 
 const (
@@ -14,73 +14,73 @@
 	refused
 	refusedAgain
 	failed
-	gone
-	outcomes
+	callerLeft
+	outcomeCount
 )
 
 // outcomeNames are the names of the outcomes in tables.
-var outcomeNames = [outcomes]string{"pending", "in time", "late", "refused", "refused again", "failed", "left"}
+var outcomeNames = [outcomeCount]string{"pending", "in time", "late", "refused", "refused again", "failed", "left"}
 
-// request is what a caller wants, and what came of it.
+// request is a caller's request with its history and outcome.
 type request struct {
-	domain    int
-	at        time.Duration
-	home      int
-	elsewhere int
-	kind      *Kind
-	prompt    float64
-	events    int
-	abusive   bool
+	domain       int
+	arrivedAt    time.Duration
+	homeGateway  int
+	otherGateway int
+	kind         *Kind
+	prompt       float64
+	events       int
+	abusive      bool
 
-	tries    int
-	triedAt  time.Duration
-	refusals int
-	// early says that the first try was refused within a quarter of the aim.
-	early   bool
-	firstAt time.Duration
-	gap     time.Duration
-	outcome outcome
-	// ends counts how often it has ended, which must be once.
-	ends int
-	earn float64
+	attempts      int
+	lastAttemptAt time.Duration
+	refusals      int
+	// refusedEarly is true if the first attempt was refused within a quarter of the latency target.
+	refusedEarly bool
+	firstEventAt time.Duration
+	longestGap   time.Duration
+	outcome      outcome
+	// finishCount counts how often the request has ended, which must be once.
+	finishCount int
+	earned      float64
 }
 
-// leaves is how long a caller waits for the first event of a try.
-func (k *Kind) leaves() time.Duration {
+// firstEventPatience is how long a caller waits for the first event of an attempt.
+func (k *Kind) firstEventPatience() time.Duration {
 	return max(2*time.Second, ms(4*k.AimMs), ms(8*k.GapAimMs))
 }
 
-// try sends the request to a gateway of the caller's failure domain.
-func (p *play) try(q *request, door int) {
-	q.tries++
-	q.triedAt = p.at
-	left := q.at + ms(q.kind.PatienceMs) - p.at
-	p.after(ms(p.scenario.Links.CallerMs), func() { p.byDomain[q.domain][door].take(q, left) })
+// submit sends the request to a gateway of the caller's failure domain.
+func (p *simulation) submit(q *request, gateway int) {
+	q.attempts++
+	q.lastAttemptAt = p.elapsed
+	remaining := q.arrivedAt + ms(q.kind.PatienceMs) - p.elapsed
+	p.after(ms(p.scenario.Links.CallerMs), func() { p.gatewaysByDomain[q.domain][gateway].receive(q, remaining) })
 }
 
 const (
-	// heeded is the part of the time left within which callers come back when they were told.
-	heeded = 1.0 / 3
-	// abuseReturns is how often callers who heed nothing come back, each after abusePause.
-	abuseReturns = 3
-	abusePause   = 20 * time.Millisecond
+	// maxRetryAfterShare is the largest share of its remaining patience that a caller accepts as Retry-After.
+	maxRetryAfterShare = 1.0 / 3
+	// abusiveRetries is how often callers that ignore Retry-After return, each time after abusivePause.
+	abusiveRetries = 3
+	abusivePause   = 20 * time.Millisecond
 )
 
-// unserved is a try that was refused or broken off.
-func (p *play) unserved(q *request, wasRefused bool, retry time.Duration) {
+// onUnserved handles an attempt that was refused or broken off: the caller returns, or the request ends.
+func (p *simulation) onUnserved(q *request, wasRefused bool, retryAfter time.Duration) {
 	if wasRefused {
 		q.refusals++
-		q.early = q.tries == 1 && p.at-q.at <= ms(q.kind.AimMs)/4
+		q.refusedEarly = q.attempts == 1 && p.elapsed-q.arrivedAt <= ms(q.kind.AimMs)/4
 	}
-	left := q.at + ms(q.kind.PatienceMs) - p.at
-	returns, pause := q.kind.CallerRetries, time.Duration(0)
+	remaining := q.arrivedAt + ms(q.kind.PatienceMs) - p.elapsed
+	retries, pause := q.kind.CallerRetries, time.Duration(0)
 	if wasRefused {
-		pause = min(max(0, retry), time.Duration(heeded*float64(left)))
+		pause = min(max(0, retryAfter), time.Duration(maxRetryAfterShare*float64(remaining)))
 	}
 	if q.abusive {
-		returns, pause = max(returns, abuseReturns), abusePause
+		retries, pause = max(retries, abusiveRetries), abusivePause
 	}
-	if q.tries > returns || left <= pause {
+	if q.attempts > retries || remaining <= pause {
 		switch {
 		case wasRefused && q.refusals > 1:
 			q.finish(refusedAgain)
@@ -91,43 +91,43 @@
 		}
 		return
 	}
-	q.gap = 0
-	p.after(pause, func() { p.try(q, p.next(q)) })
+	q.longestGap = 0
+	p.after(pause, func() { p.submit(q, p.nextGateway(q)) })
 }
 
-// next is the gateway that a caller comes back to: another one where there is one.
-func (p *play) next(q *request) int {
-	n := len(p.byDomain[q.domain])
+// nextGateway returns the gateway for a caller's next attempt: a different one if there are several.
+func (p *simulation) nextGateway(q *request) int {
+	n := len(p.gatewaysByDomain[q.domain])
 	if n == 1 {
 		return 0
 	}
-	return (q.home + 1 + (q.elsewhere+q.tries-1)%(n-1)) % n
+	return (q.homeGateway + 1 + (q.otherGateway+q.attempts-1)%(n-1)) % n
 }
 
-// left is a caller who waits no longer.
-func (p *play) left(q *request) {
-	q.finish(gone)
+// onCallerLeft ends a request whose caller has stopped waiting.
+func (p *simulation) onCallerLeft(q *request) {
+	q.finish(callerLeft)
 }
 
 // finish ends the request.
 func (q *request) finish(o outcome) {
-	q.ends++
+	q.finishCount++
 	q.outcome = o
 }
 
-// served is a whole answer at its caller.
-func (q *request) served() {
+// onServed ends a request whose complete response has reached the caller, and sets what it earns.
+func (q *request) onServed() {
 	k := q.kind
-	steady := k.GapAimMs <= 0 || q.gap <= ms(k.GapAimMs)
+	withinGap := k.GapAimMs <= 0 || q.longestGap <= ms(k.GapAimMs)
 	switch {
-	case steady && q.firstAt-q.at <= ms(k.AimMs):
+	case withinGap && q.firstEventAt-q.arrivedAt <= ms(k.AimMs):
 		q.finish(inTime)
-		q.earn = k.Worth
-	case steady && q.early && q.tries == 2 && q.firstAt-q.triedAt <= ms(k.AimMs):
+		q.earned = k.Worth
+	case withinGap && q.refusedEarly && q.attempts == 2 && q.firstEventAt-q.lastAttemptAt <= ms(k.AimMs):
 		q.finish(late)
-		q.earn = (k.Worth + k.LateWorth) / 2
+		q.earned = (k.Worth + k.LateWorth) / 2
 	default:
 		q.finish(late)
-		q.earn = k.LateWorth
+		q.earned = k.LateWorth
 	}
 }
--- a/internal/decide/play_test.go
+++ b/internal/decide/simulation_test.go
@@ -12,8 +12,8 @@
 	"github.com/springrail/springrail/internal/facts"
 )
 
-// small is a scenario of two failure domains for a few seconds.
-func small() *Scenario {
+// smallScenario is a scenario of two failure domains for a few seconds.
+func smallScenario() *Scenario {
 	return &Scenario{
 		Name: "small", Seconds: 6, WarmUp: 1, SwapWithin: 8,
 		Engine:  EngineParams{Slots: 4, Queue: 8, StepMs: 7, PerSeqMs: 0.02, ReadPerS: 30000, Chunk: 2048, Stride: 6, LoadMs: 300, StallMs: 1500},
@@ -28,46 +28,46 @@
 	}
 }
 
-// example is a scenario that is given away.
-func example(name string) *Scenario {
+// exampleScenario loads one of the published example scenarios.
+func exampleScenario(name string) *Scenario {
 	GinkgoHelper()
 	s, err := Load("../../examples/decide/" + name + ".toml")
 	Expect(err).NotTo(HaveOccurred())
 	return s
 }
 
-// text is all that a result says.
-func text(r *Result) string {
+// resultJSON encodes a result.
+func resultJSON(r *Result) string {
 	GinkgoHelper()
 	b, err := json.Marshal(r)
 	Expect(err).NotTo(HaveOccurred())
 	return string(b)
 }
 
-var _ = Describe("a play", func() {
-	DescribeTable("of one seed is the same each time, and of another one it is not", func(name string) {
-		s := example(name)
+var _ = Describe("a simulation", func() {
+	DescribeTable("is deterministic for a seed, and differs for another one", func(name string) {
+		s := exampleScenario(name)
 		s.Seconds = 30
-		first := text(Simulate(s, VariantByName("standing"), 7))
-		Expect(text(Simulate(s, VariantByName("standing"), 7))).To(Equal(first))
-		Expect(text(Simulate(s, VariantByName("standing"), 8))).NotTo(Equal(first))
+		first := resultJSON(Simulate(s, VariantByName("standing"), 7))
+		Expect(resultJSON(Simulate(s, VariantByName("standing"), 7))).To(Equal(first))
+		Expect(resultJSON(Simulate(s, VariantByName("standing"), 8))).NotTo(Equal(first))
 	}, Entry(nil, "quiet"), Entry(nil, "gap"), Entry(nil, "overload"), Entry(nil, "crashes"), Entry(nil, "peak"))
 
-	It("brings the same callers whatever way is taken", func() {
-		s := small()
-		want := func(w *Variant) (l []request) {
-			for _, q := range newPlay(s, w, 3).requests {
-				l = append(l, request{at: q.at, domain: q.domain, home: q.home, prompt: q.prompt, events: q.events})
+	It("has the same arrivals for all variants", func() {
+		s := smallScenario()
+		arrivals := func(w *Variant) (l []request) {
+			for _, q := range newSimulation(s, w, 3).requests {
+				l = append(l, request{arrivedAt: q.arrivedAt, domain: q.domain, homeGateway: q.homeGateway, prompt: q.prompt, events: q.events})
 			}
 			return l
 		}
-		Expect(want(VariantByName("no-layout"))).To(Equal(want(VariantByName("standing"))))
-		Expect(want(VariantByName("standing"))).NotTo(BeEmpty())
+		Expect(arrivals(VariantByName("no-layout"))).To(Equal(arrivals(VariantByName("standing"))))
+		Expect(arrivals(VariantByName("standing"))).NotTo(BeEmpty())
 	})
 
-	It("ends each request once and leaves nothing behind, whatever fails", func() {
+	It("ends each request once and leaves nothing in flight, whatever fails", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			s := small()
+			s := smallScenario()
 			s.Domains[0].RequestsPerSecond = rapid.Float64Range(0, 80).Draw(t, "rate")
 			s.Reports.LossShare = rapid.Float64Range(0, 0.9).Draw(t, "lost")
 			s.AbusiveShare = rapid.Float64Range(0, 0.5).Draw(t, "abuse")
@@ -76,73 +76,73 @@
 			for range rapid.IntRange(0, 2).Draw(t, "crashes") {
 				s.Crashes = append(s.Crashes, Crash{At: at.Draw(t, "crash"), Share: rapid.Float64Range(0, 1).Draw(t, "share"), Duration: at.Draw(t, "for")})
 			}
-			named := 0.0
+			publishedAt := 0.0
 			for range rapid.IntRange(0, 2).Draw(t, "versions") {
-				named += rapid.Float64Range(0.1, 3).Draw(t, "named")
+				publishedAt += rapid.Float64Range(0.1, 3).Draw(t, "named")
 				first := at.Draw(t, "first")
-				s.Versions = append(s.Versions, Version{PublishedAt: named, FirstStagedAfter: first, LastStagedAfter: first + at.Draw(t, "last")})
+				s.Versions = append(s.Versions, Version{PublishedAt: publishedAt, FirstStagedAfter: first, LastStagedAfter: first + at.Draw(t, "last")})
 			}
 			w := rapid.SampledFrom(Variants()).Draw(t, "way")
-			p := newPlay(s, w, rapid.Uint64().Draw(t, "seed"))
+			p := newSimulation(s, w, rapid.Uint64().Draw(t, "seed"))
 			p.run()
 			for _, q := range p.requests {
-				if q.ends != 1 || q.outcome == pending {
-					t.Fatalf("%+v ended %d times", q, q.ends)
+				if q.finishCount != 1 || q.outcome == pending {
+					t.Fatalf("%+v ended %d times", q, q.finishCount)
 				}
 			}
 			for _, e := range p.engines {
-				if len(e.queue)+len(e.places) > 0 || e.busy {
-					t.Fatalf("%s still has %d and %d", e.name, len(e.queue), len(e.places))
+				if len(e.queue)+len(e.running) > 0 || e.busy {
+					t.Fatalf("%s still has %d queued and %d running requests", e.name, len(e.queue), len(e.running))
 				}
-				for _, d := range p.doors {
+				for _, d := range p.gateways {
 					if c := d.tracker.Candidate(&facts.Instance{Address: e.address, Born: e.born}, 0); c.InFlight > 0 {
-						t.Fatalf("a gateway still counts %d at %s", c.InFlight, e.name)
+						t.Fatalf("a gateway still counts %d requests at %s", c.InFlight, e.name)
 					}
 				}
 			}
 		})
 	})
 
-	It("keeps within a minute with 300 gateways and 200 engines", func() {
-		s := example("quiet")
+	It("takes less than a minute with 300 gateways and 200 engines", func() {
+		s := exampleScenario("quiet")
 		s.Seconds, s.WarmUp, s.Versions = 4, 1, nil
 		for i := range s.Domains {
 			s.Domains[i].Gateways, s.Domains[i].Upstreams, s.Domains[i].RequestsPerSecond = 100, 67, 600
 		}
-		began := time.Now()
+		startedAt := time.Now()
 		r := Simulate(s, VariantByName("standing"), 1)
-		Expect(time.Since(began)).To(BeNumerically("<", time.Minute))
+		Expect(time.Since(startedAt)).To(BeNumerically("<", time.Minute))
 		Expect(r.InTime).To(BeNumerically(">", 0.8))
 	})
 })
 
-var _ = Describe("the comparison of two ways", func() {
+var _ = Describe("the comparison of two variants", func() {
 	It("pairs seeds, and gives the mean difference with its interval", func() {
 		base := []*Result{{Worth: 0.5}, {Worth: 0.7}, {Worth: 0.6}}
 		other := []*Result{{Variant: "w", Worth: 0.6}, {Variant: "w", Worth: 0.8}, {Variant: "w", Worth: 0.9}}
 		d := ComparePaired(base, other)
 		Expect(d.Variant).To(Equal("w"))
 		Expect(d.Mean).To(BeNumerically("~", 0.5/3, 1e-9))
-		// The differences are 0.1, 0.1 and 0.3: their deviation is 0.11547.
+		// The differences are 0.1, 0.1 and 0.3, with a standard deviation of 0.11547.
 		Expect(d.HalfInterval).To(BeNumerically("~", 1.96*0.1154700538/1.7320508076, 1e-6))
 		Expect(d.Base).To(BeNumerically("~", 0.6, 1e-9))
 	})
 
-	It("gives the same rows with any number of jobs, and nothing once it is stopped", func() {
-		s := small()
-		ways := []*Variant{VariantByName("standing"), VariantByName("no-layout")}
-		one, err := Run(context.Background(), s, ways, 1, 3, 1)
+	It("returns the same results with any number of jobs, and an error once cancelled", func() {
+		s := smallScenario()
+		variants := []*Variant{VariantByName("standing"), VariantByName("no-layout")}
+		one, err := Run(context.Background(), s, variants, 1, 3, 1)
 		Expect(err).NotTo(HaveOccurred())
-		four, err := Run(context.Background(), s, ways, 1, 3, 4)
+		four, err := Run(context.Background(), s, variants, 1, 3, 4)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(four).To(Equal(one))
 		ctx, stop := context.WithCancel(context.Background())
 		stop()
-		_, err = Run(ctx, s, ways, 1, 50, 1)
+		_, err = Run(ctx, s, variants, 1, 50, 1)
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("has the code as it stands first, and each name once", func() {
+	It("lists the current code first, and each name once", func() {
 		names := map[string]bool{}
 		for _, w := range Variants() {
 			Expect(names).NotTo(HaveKey(w.Name))
--- a/internal/decide/version.go
+++ b/internal/decide/version.go
@@ -12,37 +12,37 @@
 	"github.com/springrail/springrail/internal/swapplan"
 )
 
-// coming is the transfer of a version to an engine.
-type coming struct {
-	revision       id.Revision
-	named          time.Time
-	begins, staged time.Duration
-}
-
-// swap is an engine's stager as far as it changes versions over.
-type swap struct {
-	coming   []coming
-	stagedAt time.Time
-	// out is how long a change-over takes, as learnt; closedAt is when the last one began.
-	out      time.Duration
-	closedAt time.Duration
-	waiting  *alarm
-	step     *alarm
-	// order is what the engine was told to load, and waits says that it finishes what runs before.
-	order id.Revision
-}
-
-// servedLook is how often a stager looks whether its upstream has finished.
-const servedLook = 50 * time.Millisecond
-
-// bringOut names a version, and has it come to the engines one after the other.
-func (p *play) bringOut(r id.Revision, v *Version, random *rand.Rand) {
-	at := seconds(v.PublishedAt)
-	named := p.start.Add(at)
-	p.on(at+ms(p.scenario.Reports.VersionDelayMs), func() {
-		n := facts.Publication{Revision: r, PublishTime: dating.TimeBounds{After: named}, CompleteUntil: named}
-		p.news.SetWanted(model, n)
-		for _, d := range p.doors {
+// transfer is the transfer of a version to an engine's VM.
+type transfer struct {
+	revision           id.Revision
+	publishedAt        time.Time
+	startsAt, stagedAt time.Duration
+}
+
+// versionSwap is the part of an engine's stager that replaces the served version.
+type versionSwap struct {
+	transfers []transfer
+	stagedAt  time.Time
+	// swapDuration is the learnt time that an engine is closed for a swap; closedAt is when the last swap began.
+	swapDuration time.Duration
+	closedAt     time.Duration
+	swapTimer    *timer
+	drainTimer   *timer
+	// ordered is the version that the engine loads next; 0 for none.
+	ordered id.Revision
+}
+
+// drainPollInterval is how often a stager checks whether its upstream has drained.
+const drainPollInterval = 50 * time.Millisecond
+
+// publishVersion publishes a version and schedules its transfers to the engines, one after the other.
+func (p *simulation) publishVersion(r id.Revision, v *Version, random *rand.Rand) {
+	publishOffset := seconds(v.PublishedAt)
+	publishedAt := p.start.Add(publishOffset)
+	p.schedule(publishOffset+ms(p.scenario.Reports.VersionDelayMs), func() {
+		n := facts.Publication{Revision: r, PublishTime: dating.TimeBounds{After: publishedAt}, CompleteUntil: publishedAt}
+		p.stagerFacts.SetWanted(model, n)
+		for _, d := range p.gateways {
 			d.facts.SetWanted(model, n)
 		}
 	})
@@ -50,54 +50,54 @@
 	for i, n := range order {
 		e := p.engines[n]
 		share := float64(i+1) / float64(len(order))
-		c := coming{revision: r, named: named, begins: at, staged: at + seconds(v.FirstStagedAfter+share*(v.LastStagedAfter-v.FirstStagedAfter))}
-		e.coming = append(e.coming, c)
-		p.on(c.staged, func() { e.stage(c) })
+		c := transfer{revision: r, publishedAt: publishedAt, startsAt: publishOffset, stagedAt: publishOffset + seconds(v.FirstStagedAfter+share*(v.LastStagedAfter-v.FirstStagedAfter))}
+		e.transfers = append(e.transfers, c)
+		p.schedule(c.stagedAt, func() { e.onStaged(c) })
 	}
 }
 
-// stage is a version that lies whole beside the engine.
-func (e *engine) stage(c coming) {
+// onStaged handles a version whose transfer to the engine's VM is complete.
+func (e *engine) onStaged(c transfer) {
 	if c.revision <= e.staged {
 		return
 	}
-	e.staged, e.stagedAt = c.revision, e.play.now()
-	e.turn()
+	e.staged, e.stagedAt = c.revision, e.sim.now()
+	e.planSwap()
 }
 
-// turn waits until the engine may leave its version for what is staged.
-func (e *engine) turn() {
-	p := e.play
-	e.waiting.stop()
+// planSwap closes the engine for a swap as soon as the plan allows, or checks again later.
+func (e *engine) planSwap() {
+	p := e.sim
+	e.swapTimer.stop()
 	if !e.up || e.closed || e.held == 0 || e.staged <= e.held {
 		return
 	}
-	v, ok := e.view()
-	if !ok || p.way.atOnce {
-		e.close(p.news.ServableUntil(model, e.held, seconds(p.scenario.SwapWithin)))
+	v, ok := e.swapView()
+	if !ok || p.variant.swapAtOnce {
+		e.closeForSwap(p.stagerFacts.ServableUntil(model, e.held, seconds(p.scenario.SwapWithin)))
 		return
 	}
 	wait := swapplan.LoadAt(v).Sub(p.now())
-	needless := e.use(&v) == swapplan.Unneeded
-	if wait <= 0 && !needless {
-		e.close(v.ServableUntil.Add(swapplan.CloseMargin))
+	skipVersion := e.stagedUse(&v) == swapplan.Unneeded
+	if wait <= 0 && !skipVersion {
+		e.closeForSwap(v.ServableUntil.Add(swapplan.CloseMargin))
 		return
 	}
-	if needless {
+	if skipVersion {
 		wait = swapplan.PlanCheckInterval
 	}
-	e.waiting = p.after(min(wait, swapplan.PlanCheckInterval), e.turn)
+	e.swapTimer = p.after(min(wait, swapplan.PlanCheckInterval), e.planSwap)
 }
 
-// view is what the plan of the change-over rests on.
-func (e *engine) view() (swapplan.Inputs, bool) {
-	p := e.play
+// swapView returns the inputs of the swap plan.
+func (e *engine) swapView() (swapplan.Inputs, bool) {
+	p := e.sim
 	within := seconds(p.scenario.SwapWithin)
-	until := p.news.ServableUntil(model, e.held, within)
+	until := p.stagerFacts.ServableUntil(model, e.held, within)
 	if until.IsZero() {
 		return swapplan.Inputs{}, false
 	}
-	v := swapplan.Inputs{StagedAt: e.stagedAt, ServableUntil: until.Add(-swapplan.CloseMargin), SwapDuration: e.usualOut()}
+	v := swapplan.Inputs{StagedAt: e.stagedAt, ServableUntil: until.Add(-swapplan.CloseMargin), SwapDuration: e.expectedSwapDuration()}
 	vms := []id.VM{id.VM(e.address)}
 	for _, o := range p.engines {
 		if o == e || o.domain != e.domain {
@@ -107,143 +107,145 @@
 		if o.held == 0 || o.held >= e.held {
 			continue
 		}
-		if end := p.news.ServableUntil(model, o.held, within).Add(-swapplan.CloseMargin); end.After(v.OlderServableUntil) {
+		if end := p.stagerFacts.ServableUntil(model, o.held, within).Add(-swapplan.CloseMargin); end.After(v.OlderServableUntil) {
 			v.OlderServableUntil = end
 		}
 	}
 	v.Rank, v.Size = rendezvous.Rank(fmt.Sprintf("%s@%d", model, e.staged), vms, id.VM(e.address)), len(vms)
-	v.BridgeOnly = e.use(&v) == swapplan.BridgesGap
+	v.BridgeOnly = e.stagedUse(&v) == swapplan.BridgesGap
 	return v, true
 }
 
-// use is what the staged version is still good for.
-func (e *engine) use(v *swapplan.Inputs) swapplan.Need {
-	p := e.play
-	for _, c := range e.coming {
-		if c.revision <= e.staged || p.at < c.begins+ms(p.scenario.Reports.VersionDelayMs) {
+// stagedUse returns what the staged version is still useful for, given the next one in transfer.
+func (e *engine) stagedUse(v *swapplan.Inputs) swapplan.Need {
+	p := e.sim
+	for _, c := range e.transfers {
+		if c.revision <= e.staged || p.elapsed < c.startsAt+ms(p.scenario.Reports.VersionDelayMs) {
 			continue
 		}
 		const all = 1000
-		share := float64(p.at-c.begins) / float64(max(1, c.staged-c.begins))
-		n := swapplan.NextVersion{StartedAt: p.start.Add(c.begins), ChunksHeld: int(min(1, share) * all), ChunksTotal: all, UsualDuration: e.usualTransfer()}
+		share := float64(p.elapsed-c.startsAt) / float64(max(1, c.stagedAt-c.startsAt))
+		n := swapplan.NextVersion{StartedAt: p.start.Add(c.startsAt), ChunksHeld: int(min(1, share) * all), ChunksTotal: all, UsualDuration: e.transferDuration()}
 		return swapplan.NeedFor(v.ServableUntil, v.SwapDuration, n, p.now())
 	}
 	return swapplan.Needed
 }
 
-// usualTransfer is how long the staged version took to come.
-func (e *engine) usualTransfer() time.Duration {
-	for _, c := range e.coming {
+// transferDuration is how long the transfer of the staged version took.
+func (e *engine) transferDuration() time.Duration {
+	for _, c := range e.transfers {
 		if c.revision == e.staged {
-			return c.staged - c.begins
+			return c.stagedAt - c.startsAt
 		}
 	}
 	return 0
 }
 
-func (e *engine) usualOut() time.Duration {
-	if e.out == 0 {
+func (e *engine) expectedSwapDuration() time.Duration {
+	if e.swapDuration == 0 {
 		return swapplan.DefaultSwapDuration
 	}
-	return e.out
+	return e.swapDuration
 }
 
-// cutBefore is the time before a version's end from which on nothing is cut: no other engine could let it in.
-const cutBefore = 3 * time.Second
+// minLifetimeForCut is the minimum remaining lifetime of a version for which running requests are cut; later no other
+// engine could admit them in time.
+const minLifetimeForCut = 3 * time.Second
 
-// close lets nothing more in, and has the version loaded once what was let in is done, or after a while.
-func (e *engine) close(until time.Time) {
-	p := e.play
-	cut := p.way.cut && until.Sub(p.now()) > cutBefore
-	e.closed, e.closedAt, e.order = true, p.at, e.staged
-	e.urgent()
-	e.step = p.after(swapplan.LateArrivalWait, func() { e.drain(cut) })
+// closeForSwap stops admission, and has the staged version loaded after draining.
+func (e *engine) closeForSwap(until time.Time) {
+	p := e.sim
+	cut := p.variant.cutRunning && until.Sub(p.now()) > minLifetimeForCut
+	e.closed, e.closedAt, e.ordered = true, p.elapsed, e.staged
+	e.reportUrgently()
+	e.drainTimer = p.after(swapplan.LateArrivalWait, func() { e.drain(cut) })
 }
 
-// drain waits for what runs, or for what waits where nothing is cut.
+// drain polls until no request waits to be started and, if running requests would be cut, until those have finished too.
+// After that or after maxDrain it refuses the queue, cuts if asked to, and lets the load begin.
 func (e *engine) drain(cut bool) {
-	p := e.play
-	writers := 0
-	for _, j := range e.places {
-		if j.writing && !j.gone {
-			writers++
+	p := e.sim
+	decoding := 0
+	for _, j := range e.running {
+		if j.decoding && !j.cancelled {
+			decoding++
 		}
 	}
-	waiting := len(e.queue) + len(e.places) - writers
-	done := waiting == 0 && (!cut || writers == 0)
-	if !done && p.at < e.closedAt+p.way.drainMost() {
-		e.step = p.after(servedLook, func() { e.drain(cut) })
+	waiting := len(e.queue) + len(e.running) - decoding
+	done := waiting == 0 && (!cut || decoding == 0)
+	if !done && p.elapsed < e.closedAt+p.variant.maxDrain() {
+		e.drainTimer = p.after(drainPollInterval, func() { e.drain(cut) })
 		return
 	}
 	e.loading = true
 	queue := e.queue
 	e.queue = nil
 	for _, j := range queue {
-		j.send.refused()
+		j.attempt.onRefused()
 	}
 	if cut {
-		for _, j := range e.places {
-			j.gone = true
-			if j.writing {
-				j.send.cut()
+		for _, j := range e.running {
+			j.cancelled = true
+			if j.decoding {
+				j.attempt.onCut()
 				continue
 			}
-			j.send.refused()
+			j.attempt.onRefused()
 		}
 	}
 	if !e.busy {
-		e.clear()
+		e.removeFinished()
 	}
-	e.idle()
+	e.loadIfIdle()
 }
 
-// drainMost is how long an engine is given to finish what runs.
-func (w *Variant) drainMost() time.Duration {
-	if w.drain > 0 {
-		return time.Duration(w.drain * float64(swapplan.MaxDrain))
+// maxDrain is the longest time for draining an engine.
+func (w *Variant) maxDrain() time.Duration {
+	if w.drainFactor > 0 {
+		return time.Duration(w.drainFactor * float64(swapplan.MaxDrain))
 	}
 	return swapplan.MaxDrain
 }
 
-// idle loads the ordered version once nothing runs any more.
-func (e *engine) idle() {
-	if !e.loading || e.busy || len(e.places) > 0 || e.order == 0 {
+// loadIfIdle loads the ordered version once no request is running.
+func (e *engine) loadIfIdle() {
+	if !e.loading || e.busy || len(e.running) > 0 || e.ordered == 0 {
 		return
 	}
-	r := e.order
-	e.order = 0
-	e.step = e.play.after(ms(e.play.scenario.Engine.LoadMs), func() { e.loaded(r) })
+	r := e.ordered
+	e.ordered = 0
+	e.drainTimer = e.sim.after(ms(e.sim.scenario.Engine.LoadMs), func() { e.onLoaded(r) })
 }
 
-// loaded serves the version.
-func (e *engine) loaded(r id.Revision) {
-	p := e.play
+// onLoaded puts the loaded version into service.
+func (e *engine) onLoaded(r id.Revision) {
+	p := e.sim
 	e.held, e.closed, e.loading = r, false, false
-	took := p.at - e.closedAt
-	e.out = e.usualOut() + time.Duration(swapplan.SwapDurationWeight*float64(took-e.usualOut()))
-	e.urgent()
-	e.kick()
-	e.turn()
+	took := p.elapsed - e.closedAt
+	e.swapDuration = e.expectedSwapDuration() + time.Duration(swapplan.SwapDurationWeight*float64(took-e.expectedSwapDuration()))
+	e.reportUrgently()
+	e.startPass()
+	e.planSwap()
 }
 
-// stopSwap forgets a change-over that a crash has ended.
-func (e *engine) stopSwap() {
-	e.waiting.stop()
-	e.step.stop()
-	e.order = 0
+// cancelSwap cancels a swap on a crash.
+func (e *engine) cancelSwap() {
+	e.swapTimer.stop()
+	e.drainTimer.stop()
+	e.ordered = 0
 }
 
-// overdue says whether the engine's version may take no new requests any more.
-func (e *engine) overdue() bool {
-	until := e.play.news.ServableUntil(model, e.held, seconds(e.play.scenario.SwapWithin))
-	return !until.IsZero() && e.play.now().After(until)
+// versionExpired reports whether the lifetime of the engine's version has ended, so that it may begin no requests.
+func (e *engine) versionExpired() bool {
+	until := e.sim.stagerFacts.ServableUntil(model, e.held, seconds(e.sim.scenario.SwapWithin))
+	return !until.IsZero() && e.sim.now().After(until)
 }
 
-// crash ends a share of the engines for a time.
-func (p *play) crash(c Crash, random *rand.Rand) {
+// scheduleCrash takes a random share of the engines down for a time.
+func (p *simulation) scheduleCrash(c Crash, random *rand.Rand) {
 	for _, n := range random.Perm(len(p.engines))[:int(c.Share*float64(len(p.engines))+0.5)] {
 		e := p.engines[n]
-		p.on(seconds(c.At), e.crashed)
-		p.on(seconds(c.At+c.Duration), e.back)
+		p.schedule(seconds(c.At), e.crash)
+		p.schedule(seconds(c.At+c.Duration), e.restart)
 	}
 }
