--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -1,4 +1,5 @@
-// Package limits bounds what each organisation's callers may use at one entry, and refuses the rest early.
+// Package limits enforces each organisation's limits on concurrency and request rate at one entry, and refuses excess
+// requests early. An entry is a process that accepts callers' requests.
 package limits
 
 import (
@@ -15,20 +16,20 @@
 	"github.com/springrail/springrail/internal/membership"
 )
 
-// ErrOverLimit says that an organisation uses as much as it may; the request was not run.
+// ErrOverLimit is returned for a request beyond its organisation's limits. The request was not run.
 var ErrOverLimit = errors.New("over the organisation's limit")
 
-// PartName is what other parts name in their needs.
+// PartName is the name by which other parts depend on this one.
 const PartName = "limits"
 
-// busyRetry is when a caller over its concurrency may come back.
-const busyRetry = time.Second
+// busyRetryAfter is the Retry-After for a caller beyond its organisation's concurrency limit.
+const busyRetryAfter = time.Second
 
-// Settings is the section [limits].
+// Settings is the settings section [limits].
 type Settings struct {
-	// Concurrency is the default of an organisation over all entries.
+	// Concurrency is an organisation's default limit on concurrent requests, over all entries.
 	Concurrency int `toml:"concurrency"`
-	// RequestsPerSecond is the default of an organisation over all entries.
+	// RequestsPerSecond is an organisation's default limit on its request rate, over all entries.
 	RequestsPerSecond float64 `toml:"requests_per_second"`
 }
 
@@ -51,27 +52,27 @@
 	})
 }
 
-// Limiter holds each organisation to its share at this entry. The platform's balancer spreads callers evenly, so the
-// share is the limit divided by the number of entries.
+// Limiter enforces each organisation's share of its limits at this entry. The platform's load balancer spreads callers
+// evenly, so the share is the limit divided by the number of entries.
 type Limiter struct {
 	settings *Settings
 	entries  func() int
 	now      func() time.Time
 	mu       sync.Mutex
-	used     map[id.Organisation]*usage
+	usages   map[id.Organisation]*usage
 }
 
 type usage struct {
-	inFlight int
-	arrivals *rate.Limiter
+	inFlight    int
+	rateLimiter *rate.Limiter
 }
 
-// New makes a limiter; entries returns the number of entries that share an organisation's limit.
+// New returns a limiter; entries returns the number of entries that share an organisation's limits.
 func New(s *Settings, entries func() int, now func() time.Time) *Limiter {
-	return &Limiter{settings: s, entries: entries, now: now, used: map[id.Organisation]*usage{}}
+	return &Limiter{settings: s, entries: entries, now: now, usages: map[id.Organisation]*usage{}}
 }
 
-// Refusal is ErrOverLimit with the time after which the caller may come back.
+// Refusal is an ErrOverLimit with the time after which the caller may retry.
 type Refusal struct {
 	RetryAfter time.Duration
 	text       string
@@ -82,60 +83,60 @@
 	return r.text
 }
 
-// Is makes errors.Is find ErrOverLimit.
+// Is makes errors.Is match ErrOverLimit.
 func (r *Refusal) Is(target error) bool {
 	return target == ErrOverLimit
 }
 
-// Acquire takes a place for a request of an organisation; leave gives it back. The error is a *Refusal.
-func (l *Limiter) Acquire(o *pb.Organisation) (leave func(), err error) {
+// Acquire admits a request of an organisation; release must be called when it ends. The error is a *Refusal.
+func (l *Limiter) Acquire(o *pb.Organisation) (release func(), err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	u := l.usage(o)
-	if u.inFlight >= l.share(float64(l.concurrency(o))) {
-		return nil, trace.Wrap(&Refusal{RetryAfter: busyRetry, text: "too many requests of the organisation in flight"})
+	u := l.usageOf(o)
+	if u.inFlight >= l.share(float64(l.maxConcurrency(o))) {
+		return nil, trace.Wrap(&Refusal{RetryAfter: busyRetryAfter, text: "too many requests of the organisation in flight"})
 	}
-	r := u.arrivals.ReserveN(l.now(), 1)
+	r := u.rateLimiter.ReserveN(l.now(), 1)
 	if d := r.DelayFrom(l.now()); d > 0 {
 		r.CancelAt(l.now())
 		return nil, trace.Wrap(&Refusal{RetryAfter: d, text: "too many requests of the organisation a second"})
 	}
 	u.inFlight++
-	return func() { l.leave(u) }, nil
+	return func() { l.release(u) }, nil
 }
 
-func (l *Limiter) leave(u *usage) {
+func (l *Limiter) release(u *usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	u.inFlight--
 }
 
-func (l *Limiter) usage(o *pb.Organisation) *usage {
+func (l *Limiter) usageOf(o *pb.Organisation) *usage {
 	perSecond := o.GetLimits().GetRequestsPerSecond()
 	if perSecond == 0 {
 		perSecond = l.settings.RequestsPerSecond
 	}
 	share := perSecond / float64(max(1, l.entries()))
-	u := l.used[id.Organisation(o.GetId())]
+	u := l.usages[id.Organisation(o.GetId())]
 	if u == nil {
-		u = &usage{arrivals: rate.NewLimiter(rate.Limit(share), max(1, int(share)))}
-		l.used[id.Organisation(o.GetId())] = u
+		u = &usage{rateLimiter: rate.NewLimiter(rate.Limit(share), max(1, int(share)))}
+		l.usages[id.Organisation(o.GetId())] = u
 	}
-	if u.arrivals.Limit() != rate.Limit(share) {
-		u.arrivals.SetLimitAt(l.now(), rate.Limit(share))
-		u.arrivals.SetBurstAt(l.now(), max(1, int(share)))
+	if u.rateLimiter.Limit() != rate.Limit(share) {
+		u.rateLimiter.SetLimitAt(l.now(), rate.Limit(share))
+		u.rateLimiter.SetBurstAt(l.now(), max(1, int(share)))
 	}
 	return u
 }
 
-func (l *Limiter) concurrency(o *pb.Organisation) uint32 {
+func (l *Limiter) maxConcurrency(o *pb.Organisation) uint32 {
 	if n := o.GetLimits().GetConcurrency(); n > 0 {
 		return n
 	}
 	return uint32(l.settings.Concurrency)
 }
 
-// share is this entry's part of a limit, rounded up.
+// share is this entry's share of a limit, rounded up.
 func (l *Limiter) share(limit float64) int {
 	n := float64(max(1, l.entries()))
 	return max(1, int((limit+n-1)/n))
