--- a/internal/throttle/bucket.go
+++ b/internal/throttle/bucket.go
@@ -5,54 +5,54 @@
 	"time"
 )
 
-// burst is the most permits that lie ready: a caller's request comes some time after the permit that it takes, and one
-// that nobody took by then is not lost.
+// burst is the maximum number of unused permits: a request arrives some time after a permit became available for it, and
+// a permit that was not taken by then is not lost.
 const burst = 2
 
-// bucket fills with permits at a rate. It begins empty: what had a permit just before it began is not known.
+// bucket is a token bucket of permits. It starts empty, since permits issued just before its start are not known.
 type bucket struct {
-	rate Rate
-	left float64
-	at   time.Time
+	rate      Rate
+	tokens    float64
+	updatedAt time.Time
 }
 
-// fill brings the bucket to the present.
-func (b *bucket) fill(now time.Time) {
-	if d := now.Sub(b.at); d > 0 {
-		b.left = min(b.left+float64(b.rate)*d.Seconds(), burst)
-		b.at = now
+// refill adds the permits that have become available by now.
+func (b *bucket) refill(now time.Time) {
+	if d := now.Sub(b.updatedAt); d > 0 {
+		b.tokens = min(b.tokens+float64(b.rate)*d.Seconds(), burst)
+		b.updatedAt = now
 	}
 }
 
-// set changes the rate from now on.
-func (b *bucket) set(r Rate, now time.Time) {
-	b.fill(now)
+// setRate changes the rate from now on.
+func (b *bucket) setRate(r Rate, now time.Time) {
+	b.refill(now)
 	b.rate = r
 }
 
-// take takes a permit if there is one.
+// take consumes a permit if one is available.
 func (b *bucket) take(now time.Time) bool {
-	b.fill(now)
-	if b.left < 1 {
+	b.refill(now)
+	if b.tokens < 1 {
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
 
-// whole is how many permits are there.
-func (b *bucket) whole(now time.Time) int {
-	b.fill(now)
-	return int(b.left)
+// available returns the number of whole permits.
+func (b *bucket) available(now time.Time) int {
+	b.refill(now)
+	return int(b.tokens)
 }
 
-// due is how long it takes until the next permit is there.
-func (b *bucket) due(now time.Time) time.Duration {
-	b.fill(now)
-	if b.left >= 1 {
+// untilNext returns the time until a permit is available; 0 if one is.
+func (b *bucket) untilNext(now time.Time) time.Duration {
+	b.refill(now)
+	if b.tokens >= 1 {
 		return 0
 	}
-	if s := (1 - b.left) / float64(b.rate); s < never.Seconds() {
+	if s := (1 - b.tokens) / float64(b.rate); s < never.Seconds() {
 		return time.Duration(s * float64(time.Second))
 	}
 	return never
--- a/internal/throttle/word.go
+++ b/internal/throttle/limit_info.go
@@ -1,5 +1,6 @@
-// Package throttle keeps what all gateways together send to an upstream within the limit that the upstream names. Its
-// parts know no network: the process beside the upstream grants places, and gateways ask for one before each send.
+// Package throttle keeps the requests of all gateways to an upstream within the rate limit that the upstream announces.
+// The process beside the upstream issues permits, and gateways request one before each send. The package does no network
+// I/O.
 package throttle
 
 import (
@@ -8,27 +9,27 @@
 	"strings"
 )
 
-// Rate is a number of requests a second.
+// Rate is a number of requests per second.
 type Rate float64
 
-// LimitState is what an answer says of its upstream's limit.
+// LimitState is what a response says about its upstream's limit.
 type LimitState int
 
-// What answers say: nothing that can be understood, that there is no limit, or a limit.
+// Unclear is information that can't be parsed, Unlimited means no limit, and Limited a limit.
 const (
 	Unclear LimitState = iota
 	Unlimited
 	Limited
 )
 
-// LimitInfo is what one answer says, with the Rate of a Limited one.
+// LimitInfo is the limit information of one response; Rate is set if State is Limited.
 type LimitInfo struct {
 	State LimitState
 	Rate  Rate
 }
 
-// ParseLimit reads the text in which an upstream names its limit; an empty one is that of an upstream that names none. What
-// is no number, or none that can be kept to, is Unclear.
+// ParseLimit parses the value in which an upstream announces its limit; an empty one means no limit. A value that is not
+// a number, or not a valid rate, is Unclear.
 func ParseLimit(text string) LimitInfo {
 	if text == "" {
 		return LimitInfo{State: Unlimited}
@@ -40,7 +41,7 @@
 	return LimitInfo{State: Limited, Rate: Rate(n)}
 }
 
-// ValidRate says whether a number can be a rate.
+// ValidRate reports whether a number is a valid rate.
 func ValidRate(n float64) bool {
 	return n >= 0 && !math.IsInf(n, 0)
 }
--- a/internal/throttle/limiter.go
+++ b/internal/throttle/limiter.go
@@ -9,153 +9,158 @@
 )
 
 const (
-	// overFor is how long the end of a limit is told: reports to other failure domains go once a second, and some are lost.
-	overFor = 10 * time.Second
-	// trialRate is the least rate of permits where only answers to requests can tell that a limit has ended.
-	trialRate Rate = 0.1
+	// endAnnouncedFor is how long the end of a limit is announced: reports to other failure domains are sent once a
+	// second, and some are lost.
+	endAnnouncedFor = 10 * time.Second
+	// minProbeRate is the minimum rate of permits where only responses to requests can show that a limit has ended.
+	minProbeRate Rate = 0.1
 )
 
-// Announcement is what the process beside an upstream tells of its limit; its Word is Unclear while there is nothing to tell.
+// Announcement is what the process beside an upstream sends to gateways about the upstream's limit; its State is Unclear
+// if there is nothing to announce.
 type Announcement struct {
 	LimitInfo
-	// Incarnation is the start of that process: one that has started again knows nothing yet.
+	// Incarnation identifies the lifetime of that process: after a restart it knows no limit.
 	Incarnation uint64
-	// Permits are there to be given, in parts of one.
+	// Permits is the fill level of the token bucket, with its fraction.
 	Permits float64
-	// FromUpstream says that the upstream names the limit to that process itself.
+	// FromUpstream is true if that process learns the limit from the upstream itself.
 	FromUpstream bool
 }
 
-// Limiter is the one that gives permits for an upstream: the process beside it. As there is one of it, what all
-// gateways send together keeps to the limit whatever their number is. It is safe for concurrent use.
+// Limiter issues the permits for an upstream, in the process beside it. As there is only one, the requests of all
+// gateways together keep to the limit, whatever their number. It is safe for concurrent use.
 type Limiter struct {
-	// OnChange is told of each limit that begins, changes or ends, and who said so; it is set before use.
-	OnChange func(w LimitInfo, by string)
+	// OnChange is called for each limit that begins, changes or ends, with the source of the information; it is set
+	// before use.
+	OnChange func(info LimitInfo, source string)
 
 	now func() time.Time
 	mu  sync.Mutex
-	// born is the newest start of the upstream that is known.
-	born id.Birth
-	word LimitInfo
-	// reported is true once the upstream has named a limit to this process: from then on nobody else is believed.
-	reported bool
-	overTill time.Time
-	bucket   bucket
-	// issued is the number of the newest permit, and named that of the newest one when a limit was last named: only the
-	// answer to a later one proves that the limit has ended, as answers pass each other.
-	issued, named uint64
+	// incarnation is the newest known process lifetime of the upstream.
+	incarnation id.Birth
+	info        LimitInfo
+	// fromUpstream is true once the upstream itself has announced a limit to this process; from then on other sources
+	// are ignored.
+	fromUpstream     bool
+	announceEndUntil time.Time
+	bucket           bucket
+	// issued is the number of the newest permit, and issuedAtLimit its value when a limit was last received. As
+	// responses overtake each other, only the response to a later permit proves that the limit has ended.
+	issued, issuedAtLimit uint64
 }
 
-// NewLimiter makes one for an upstream that is not known to have a limit.
+// NewLimiter returns a limiter for an upstream that is not known to have a limit.
 func NewLimiter(now func() time.Time) *Limiter {
-	// Numbers of an earlier start of this process must not be taken for its own.
+	// Starts at a random number, so that permits of an earlier process lifetime are not taken for its own.
 	first := uint64(rand.Uint32()) << 24
-	return &Limiter{OnChange: func(LimitInfo, string) {}, now: now, issued: first, named: first}
+	return &Limiter{OnChange: func(LimitInfo, string) {}, now: now, issued: first, issuedAtLimit: first}
 }
 
-// Who said what a limit is.
+// Sources of limit information.
 const (
-	byUpstream = "the upstream's report"
-	byGateway  = "a gateway"
-	byStart    = "a new start of the upstream"
+	sourceUpstream = "the upstream's report"
+	sourceGateway  = "a gateway"
+	sourceRestart  = "a new start of the upstream"
 )
 
-// RecordUpstreamReport takes what the upstream itself says beside its figures, of which start it is.
-func (l *Limiter) RecordUpstreamReport(w LimitInfo, born id.Birth) {
+// RecordUpstreamReport applies the limit information in the upstream's own report, for the process lifetime that the
+// report belongs to.
+func (l *Limiter) RecordUpstreamReport(info LimitInfo, incarnation id.Birth) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.start(born)
+	l.setIncarnation(incarnation)
 	switch {
-	case w.State == Limited:
-		l.reported = true
-		l.set(w, byUpstream)
-	case w.State == Unlimited && l.reported:
-		l.set(w, byUpstream)
+	case info.State == Limited:
+		l.fromUpstream = true
+		l.setInfo(info, sourceUpstream)
+	case info.State == Unlimited && l.fromUpstream:
+		l.setInfo(info, sourceUpstream)
 	}
 }
 
-// start forgets what was of an earlier start. The caller holds the lock.
-func (l *Limiter) start(born id.Birth) {
-	if l.born.Before(born) {
-		l.reported = false
-		if l.word.State == Limited {
-			l.set(LimitInfo{State: Unlimited}, byStart)
+// setIncarnation drops a limit of an earlier process lifetime. The caller holds the lock.
+func (l *Limiter) setIncarnation(incarnation id.Birth) {
+	if l.incarnation.Before(incarnation) {
+		l.fromUpstream = false
+		if l.info.State == Limited {
+			l.setInfo(LimitInfo{State: Unlimited}, sourceRestart)
 		}
 	}
-	l.born = max(l.born, born)
+	l.incarnation = max(l.incarnation, incarnation)
 }
 
-// RecordGatewayLimit takes a limit that an answer named to a gateway.
-func (l *Limiter) RecordGatewayLimit(r Rate, born id.Birth) {
+// RecordGatewayLimit applies a limit that a gateway received in a response.
+func (l *Limiter) RecordGatewayLimit(r Rate, incarnation id.Birth) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.start(born)
+	l.setIncarnation(incarnation)
 	switch {
-	case born.Before(l.born):
-	case !l.reported:
-		l.set(LimitInfo{State: Limited, Rate: r}, byGateway)
-	case l.word.State == Unlimited:
-		// That gateway has missed the end, or an answer of before came late.
-		l.overTill = l.now().Add(overFor)
+	case incarnation.Before(l.incarnation):
+	case !l.fromUpstream:
+		l.setInfo(LimitInfo{State: Limited, Rate: r}, sourceGateway)
+	case l.info.State == Unlimited:
+		// That gateway has missed the end of the limit, or a response was delayed.
+		l.announceEndUntil = l.now().Add(endAnnouncedFor)
 	}
 }
 
-// RecordGatewayEnd takes word of an answer without a limit to the request that had a permit.
-func (l *Limiter) RecordGatewayEnd(permit uint64, born id.Birth) {
+// RecordGatewayEnd applies a gateway's notice that the response to the request with the given permit had no limit.
+func (l *Limiter) RecordGatewayEnd(permit uint64, incarnation id.Birth) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.reported && !born.Before(l.born) && l.named < permit && permit <= l.issued {
-		l.set(LimitInfo{State: Unlimited}, byGateway)
+	if !l.fromUpstream && !incarnation.Before(l.incarnation) && l.issuedAtLimit < permit && permit <= l.issued {
+		l.setInfo(LimitInfo{State: Unlimited}, sourceGateway)
 	}
 }
 
-// set takes what is known from now on. The caller holds the lock.
-func (l *Limiter) set(w LimitInfo, by string) {
-	now, old := l.now(), l.word
-	l.word = w
-	if w.State == Limited {
-		l.named = l.issued
+// setInfo replaces the limit information. The caller holds the lock.
+func (l *Limiter) setInfo(info LimitInfo, source string) {
+	now, old := l.now(), l.info
+	l.info = info
+	if info.State == Limited {
+		l.issuedAtLimit = l.issued
 		if old.State != Limited {
-			l.bucket = bucket{at: now}
+			l.bucket = bucket{updatedAt: now}
 		}
-		l.bucket.set(l.rate(), now)
+		l.bucket.setRate(l.permitRate(), now)
 	} else if old.State == Limited {
-		l.overTill = now.Add(overFor)
+		l.announceEndUntil = now.Add(endAnnouncedFor)
 	}
-	if w != old {
-		l.OnChange(w, by)
+	if info != old {
+		l.OnChange(info, source)
 	}
 }
 
-// rate is that of permits.
-func (l *Limiter) rate() Rate {
-	if l.reported {
-		return l.word.Rate
+// permitRate returns the rate at which permits are issued.
+func (l *Limiter) permitRate() Rate {
+	if l.fromUpstream {
+		return l.info.Rate
 	}
-	return max(l.word.Rate, trialRate)
+	return max(l.info.Rate, minProbeRate)
 }
 
-// IssuePermit gives the number of a permit, or 0 where none is left.
+// IssuePermit returns the number of a new permit, or 0 if none is available.
 func (l *Limiter) IssuePermit() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.word.State == Limited && !l.bucket.take(l.now()) {
+	if l.info.State == Limited && !l.bucket.take(l.now()) {
 		return 0
 	}
 	l.issued++
 	return l.issued
 }
 
-// Announce is what gateways are told. That a limit has ended is told for some time.
+// Announce returns the announcement to gateways. The end of a limit is announced for a time.
 func (l *Limiter) Announce() Announcement {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
 	switch {
-	case l.word.State == Limited:
-		l.bucket.fill(now)
-		return Announcement{LimitInfo: l.word, Permits: l.bucket.left, FromUpstream: l.reported}
-	case now.Before(l.overTill):
+	case l.info.State == Limited:
+		l.bucket.refill(now)
+		return Announcement{LimitInfo: l.info, Permits: l.bucket.tokens, FromUpstream: l.fromUpstream}
+	case now.Before(l.announceEndUntil):
 		return Announcement{LimitInfo: LimitInfo{State: Unlimited}}
 	default:
 		return Announcement{}
--- a/internal/throttle/limiter_test.go
+++ b/internal/throttle/limiter_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("the one that gives permits for an upstream", func() {
+var _ = Describe("the limiter of an upstream", func() {
 	var (
 		now     time.Time
 		l       *Limiter
@@ -20,9 +20,9 @@
 		l = NewLimiter(func() time.Time { return now })
 		l.OnChange = func(w LimitInfo, by string) { changes = append(changes, w.String()+" by "+by) }
 	})
-	// permits counts what is given of so many questions.
-	permits := func(asked int) (n int) {
-		for range asked {
+	// permits counts the permits issued for a number of requests.
+	permits := func(requests int) (n int) {
+		for range requests {
 			if l.IssuePermit() > 0 {
 				n++
 			}
@@ -30,14 +30,14 @@
 		return n
 	}
 
-	It("gives any while there is no limit, and tells nothing", func() {
+	It("issues any number of permits without a limit, and announces nothing", func() {
 		l.RecordUpstreamReport(none, 5)
 		Expect(permits(100)).To(Equal(100))
 		Expect(l.Announce()).To(Equal(Announcement{}))
 		Expect(changes).To(BeEmpty())
 	})
 
-	It("gives none at once as a limit begins, and then as many as it allows", func() {
+	It("issues no permit when a limit begins, and then as many as it allows", func() {
 		l.RecordUpstreamReport(limited(2), 5)
 		Expect(permits(100)).To(BeZero())
 		now = now.Add(500 * time.Millisecond)
@@ -47,7 +47,7 @@
 		Expect(l.Announce()).To(Equal(Announcement{LimitInfo: limited(2), FromUpstream: true}))
 	})
 
-	It("gives fewer or more as the limit changes, of what comes from then on", func() {
+	It("applies a changed limit from then on", func() {
 		l.RecordUpstreamReport(limited(1), 5)
 		now = now.Add(time.Second)
 		l.RecordUpstreamReport(limited(10), 5)
@@ -59,21 +59,21 @@
 		Expect(permits(100)).To(BeZero())
 	})
 
-	It("tells the end of a limit for some time", func() {
+	It("announces the end of a limit for some time", func() {
 		l.RecordUpstreamReport(limited(2), 5)
 		l.RecordUpstreamReport(none, 5)
 		Expect(l.Announce()).To(Equal(Announcement{LimitInfo: none}))
 		Expect(permits(100)).To(Equal(100))
-		now = now.Add(overFor)
+		now = now.Add(endAnnouncedFor)
 		Expect(l.Announce()).To(Equal(Announcement{}))
 		Expect(changes).To(Equal([]string{"2 a second by the upstream's report", "none by the upstream's report"}))
-		By("a gateway that has missed it")
+		By("a notice of a gateway that has missed the end")
 		l.RecordGatewayLimit(2, 5)
 		Expect(l.Announce()).To(Equal(Announcement{LimitInfo: none}))
 		Expect(permits(100)).To(Equal(100))
 	})
 
-	It("believes gateways where the upstream's reports name no limit", func() {
+	It("accepts limits from gateways while the upstream's reports contain none", func() {
 		l.RecordUpstreamReport(none, 5)
 		l.RecordGatewayLimit(2, 5)
 		l.RecordUpstreamReport(none, 5)
@@ -81,7 +81,7 @@
 		Expect(l.Announce()).To(Equal(Announcement{LimitInfo: limited(2)}))
 	})
 
-	It("takes a limit as ended only by an answer to a permit that was given after the limit was last named", func() {
+	It("ends a limit only on a response to a permit issued after the limit was last received", func() {
 		before := l.IssuePermit()
 		l.RecordGatewayLimit(2, 5)
 		l.RecordGatewayEnd(before, 5)
@@ -98,7 +98,7 @@
 		Expect(l.Announce().State).To(Equal(Unlimited))
 	})
 
-	It("tries an upstream that takes nothing now and then, where only answers can tell that this has ended", func() {
+	It("issues permits at the minimum probe rate for a limit of 0 that only responses can end", func() {
 		l.RecordGatewayLimit(0, 5)
 		now = now.Add(9 * time.Second)
 		Expect(permits(100)).To(BeZero())
@@ -106,7 +106,7 @@
 		Expect(permits(100)).To(Equal(1))
 	})
 
-	It("forgets the limit of a start that is over, and what is said of it", func() {
+	It("drops the limit of an earlier process lifetime, and later notices of it", func() {
 		l.RecordUpstreamReport(limited(2), 5)
 		l.RecordUpstreamReport(none, 6)
 		Expect(permits(100)).To(Equal(100))
@@ -117,7 +117,7 @@
 	})
 })
 
-var _ = Describe("what a gateway knows of a limit", func() {
+var _ = Describe("a gateway's knowledge of a limit", func() {
 	var (
 		now time.Time
 		k   KnownLimit
@@ -126,7 +126,7 @@
 	limited := func(r Rate) LimitInfo { return LimitInfo{State: Limited, Rate: r} }
 	BeforeEach(func() { now, k = time.Unix(1000, 0), KnownLimit{} })
 
-	It("comes from the process beside the upstream, with the permits that it has", func() {
+	It("comes from announcements, with the available permits", func() {
 		k.ApplyAnnouncement(Announcement{LimitInfo: limited(2), Incarnation: 1, Permits: 1.5, FromUpstream: true}, now)
 		Expect(k.Granted(now)).To(Equal(Limit{Rate: 2, KnownSince: now, Permits: 1}))
 		k.ApplyAnnouncement(Announcement{LimitInfo: limited(2), Incarnation: 1, FromUpstream: true}, now)
@@ -138,18 +138,18 @@
 		Expect(k.Limited()).To(BeFalse())
 	})
 
-	It("ends as that process tells it no more, but not as another start of that process has not heard of it", func() {
+	It("ends when its announcer stops announcing it, but not when a restarted process does not know it", func() {
 		k.ApplyAnnouncement(Announcement{LimitInfo: limited(3), Incarnation: 1}, now)
 		k.ApplyAnnouncement(Announcement{Incarnation: 2}, now)
 		Expect(k.Limited()).To(BeTrue())
-		rate, untold := k.Unannounced(2)
+		rate, unannounced := k.Unannounced(2)
 		Expect(rate).To(Equal(Rate(3)))
-		Expect(untold).To(BeTrue())
+		Expect(unannounced).To(BeTrue())
 		k.ApplyAnnouncement(Announcement{Incarnation: 1}, now)
 		Expect(k.Limited()).To(BeFalse())
 	})
 
-	It("comes from answers too, and ends by one that was asked for later only while nobody else can tell", func() {
+	It("comes from responses too, and ends on the response to a later request only while there are no announcements", func() {
 		k.ApplyAnswer(limited(2), now.Add(-time.Second), now, true)
 		Expect(k.Limited()).To(BeTrue())
 		Expect(k.Granted(now).Permits).To(BeZero())
@@ -164,29 +164,29 @@
 		Expect(k.Limited()).To(BeFalse())
 	})
 
-	It("is shared among gateways while the process beside the upstream is silent", func() {
+	It("is divided among gateways while the process beside the upstream is silent", func() {
 		k.ApplyAnnouncement(Announcement{LimitInfo: limited(2), Incarnation: 1, Permits: 2}, now)
-		part := k.Share(4, false)
-		Expect(part).To(BeNumerically("~", 0.2))
+		share := k.Share(4, false)
+		Expect(share).To(BeNumerically("~", 0.2))
 		Expect(k.Share(4, true)).To(BeNumerically("~", 0.35))
-		Expect(k.Shared(now, part, half).Permits).To(BeZero())
-		taken := 0
+		Expect(k.Shared(now, share, half).Permits).To(BeZero())
+		sent := 0
 		for range 400 {
 			now = now.Add(100 * time.Millisecond)
-			k.Shared(now, part, half)
+			k.Shared(now, share, half)
 			if k.TakeSharePermit(now) {
-				taken++
+				sent++
 			}
 		}
-		Expect(taken).To(BeNumerically("~", 8, 1))
-		By("a turn that nobody used, which is over")
+		Expect(sent).To(BeNumerically("~", 8, 1))
+		By("an unused slot that has expired")
 		now = now.Add(time.Hour)
-		for k.Shared(now, part, half).NextPermitIn > 0 {
+		for k.Shared(now, share, half).NextPermitIn > 0 {
 			now = now.Add(10 * time.Millisecond)
 		}
 		Expect(k.TakeSharePermit(now)).To(BeTrue())
 		Expect(k.TakeSharePermit(now)).To(BeFalse())
-		By("that process, which is back")
+		By("that process, which reports again")
 		k.Granted(now)
 		Expect(k.TakeSharePermit(now)).To(BeFalse())
 	})
