--- a/internal/decide/scenario.go
+++ b/internal/decide/scenario.go
@@ -37,15 +37,19 @@
 
 // EngineParams are the performance parameters of the engines.
 type EngineParams struct {
-	Slots         int     `toml:"slots"`
-	Queue         int     `toml:"queue"`
+	// Slots is the number of requests that run concurrently, and Queue the number that may wait.
+	Slots int `toml:"slots"`
+	Queue int `toml:"queue"`
+	// A decoding step takes StepMs, plus PerSeqMs per running request and ContextPerKMs per 1000 tokens of context.
 	StepMs        float64 `toml:"step_ms"`
 	PerSeqMs      float64 `toml:"per_seq_ms"`
 	ContextPerKMs float64 `toml:"context_per_k_ms"`
-	ReadPerS      float64 `toml:"read_per_s"`
-	MsPerMPairs   float64 `toml:"pairs_per_m_ms"`
-	Chunk         int     `toml:"chunk"`
-	Stride        int     `toml:"stride"`
+	// ReadPerS prompt tokens are read per second, with MsPerMPairs in addition per million pairs of tokens.
+	ReadPerS    float64 `toml:"read_per_s"`
+	MsPerMPairs float64 `toml:"pairs_per_m_ms"`
+	// Chunk is the number of prompt tokens read per pass, and Stride the number of decoding steps per pass.
+	Chunk  int `toml:"chunk"`
+	Stride int `toml:"stride"`
 	// PerRequestMs is the fixed cost of each request, in addition to its tokens.
 	PerRequestMs float64 `toml:"first_ms"`
 	// LoadMs is how long an engine takes to load a version, and StallMs how long requests hang after an engine's crash.
@@ -90,14 +94,17 @@
 
 // Kind is a class of requests with the same targets and sizes.
 type Kind struct {
-	Name       string  `toml:"name"`
-	Share      float64 `toml:"share"`
+	Name  string  `toml:"name"`
+	Share float64 `toml:"share"`
+	// AimMs is the latency target for the first event, GapAimMs that for the gap between events, and PatienceMs how long
+	// callers wait in total.
 	AimMs      float64 `toml:"aim_ms"`
 	PatienceMs float64 `toml:"patience_ms"`
 	GapAimMs   float64 `toml:"gap_aim_ms"`
-	Worth      float64 `toml:"worth"`
-	LateWorth  float64 `toml:"late_worth"`
-	Prompt     Size    `toml:"prompt"`
+	// Worth is the credit for a response in time, and LateWorth that for a late one.
+	Worth     float64 `toml:"worth"`
+	LateWorth float64 `toml:"late_worth"`
+	Prompt    Size    `toml:"prompt"`
 	// Events is the length of a response; each event holds the engine's stride of tokens.
 	Events        Size `toml:"events"`
 	MaxAttempts   int  `toml:"attempts"`
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -52,14 +52,14 @@
 }
 
 const (
-	// aimShare is the share of the latency target that a prediction may use; the rest covers the network path back to
+	// targetShare is the share of the latency target that a prediction may use; the rest covers the network path back to
 	// the caller.
-	aimShare = 0.9
+	targetShare = 0.9
 )
 
 // InTime reports whether a predicted first event meets the latency target, given the time that has already elapsed.
-func InTime(predicted, elapsed, aim time.Duration) bool {
-	return float64(predicted+elapsed) <= aimShare*float64(aim)
+func InTime(predicted, elapsed, target time.Duration) bool {
+	return float64(predicted+elapsed) <= targetShare*float64(target)
 }
 
 const (
--- a/internal/placement/patience.go
+++ b/internal/placement/patience.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// patienceWindow is how long at least the longest patience seen on a route counts, and half of how long at most:
-	// long compared with the time after which a refused caller returns, short compared with changes of a route's
-	// callers.
+	// patienceWindow is the length of a window of observed patience. As the previous window counts too, a maximum is
+	// kept for one to two windows. That is long compared with the time after which a refused caller returns, and short
+	// compared with changes of a route's callers.
 	patienceWindow = 15 * time.Second
 	// minTimeLost is the shortest lost time that marks a request as a retry; smaller differences are the callers' own
 	// variation.
--- a/internal/placement/tracker.go
+++ b/internal/placement/tracker.go
@@ -27,12 +27,16 @@
 // LoadReport is a report of the stager beside an upstream on the upstream's load and state.
 type LoadReport struct {
 	// Incarnation is the process lifetime of the upstream that the figures belong to; 0 if unknown.
-	Incarnation      id.Birth
+	Incarnation id.Birth
+	// Running and Waiting are the numbers of requests at the upstream, and Slowdown is the factor by which it currently
+	// works slower than usual.
 	Running, Waiting int
 	Slowdown         float64
-	Held             []facts.Held
-	Closed           bool
-	Down             bool
+	// Held lists the model versions that the upstream serves.
+	Held []facts.Held
+	// Closed is true while the upstream admits no requests, as its stager swaps versions; Down while it does not run.
+	Closed bool
+	Down   bool
 	// Leaving is true while the upstream announces its shutdown.
 	Leaving bool
 	// Congested is true while requests queue on the network path to the upstream.
--- a/internal/throttle/bucket.go
+++ b/internal/throttle/bucket.go
@@ -52,11 +52,11 @@
 	if b.tokens >= 1 {
 		return 0
 	}
-	if s := (1 - b.tokens) / float64(b.rate); s < never.Seconds() {
+	if s := (1 - b.tokens) / float64(b.rate); s < maxWait.Seconds() {
 		return time.Duration(s * float64(time.Second))
 	}
-	return never
+	return maxWait
 }
 
-// never is longer than any caller waits.
-const never = time.Duration(math.MaxInt64 / 2)
+// maxWait is longer than any caller waits.
+const maxWait = time.Duration(math.MaxInt64 / 2)
--- a/internal/throttle/limit_info.go
+++ b/internal/throttle/limit_info.go
@@ -1,6 +1,6 @@
 // Package throttle keeps the requests of all gateways to an upstream within the rate limit that the upstream announces.
-// The process beside the upstream issues permits, and gateways request one before each send. The package does no network
-// I/O.
+// The process beside the upstream, on the same VM, issues permits, and gateways request one before each send. The
+// package does no network I/O.
 package throttle
 
 import (
@@ -15,7 +15,7 @@
 // LimitState is what a response says about its upstream's limit.
 type LimitState int
 
-// Unclear is information that can't be parsed, Unlimited means no limit, and Limited a limit.
+// Unclear stands for a value that can't be parsed, Unlimited for no limit, and Limited for a limit.
 const (
 	Unclear LimitState = iota
 	Unlimited
--- a/internal/throttle/send_slots.go
+++ b/internal/throttle/send_slots.go
@@ -23,10 +23,10 @@
 
 // period returns the time between two slots.
 func (t *sendSlots) period() time.Duration {
-	if s := 1 / float64(t.rate); s < never.Seconds() {
+	if s := 1 / float64(t.rate); s < maxWait.Seconds() {
 		return time.Duration(s * float64(time.Second))
 	}
-	return never
+	return maxWait
 }
 
 // setRate changes the rate from now on, and scales the remaining time until the next slot accordingly.
