--- a/internal/records/away.go
+++ b/internal/records/away.go
@@ -8,136 +8,139 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// outage notes what a batch says of the store's being away. The caller holds the lock.
-func (l *Log) outage(b Batch) {
-	fresh := l.started && b.ConfirmedAt.Sub(l.confirmed) <= freshMost
+// noteOutage updates what is known of store outages from a batch. The caller holds the lock.
+func (l *Log) noteOutage(b Batch) {
+	fresh := l.started && b.ConfirmedAt.Sub(l.confirmedAt) <= maxFreshAge
 	if b.FromStore && b.Uninterrupted && l.started && !fresh {
-		// The store has been away, or as slow: this process has asked all the time.
-		l.note(errAway, true)
+		// The store was unavailable, or too slow: this process was polling it throughout.
+		l.logAvailability(errStoreUnavailable, true)
 	}
-	if b.FromStore && b.Uninterrupted && l.started && b.LastFailedAt.Sub(l.confirmed) > awayFor {
-		l.returned = outageEnd{at: b.LastFailedAt, next: l.next}
+	if b.FromStore && b.Uninterrupted && l.started && b.LastFailedAt.Sub(l.confirmedAt) > outageThreshold {
+		l.lastOutage = outageEnd{at: b.LastFailedAt, next: l.next}
 	}
-	l.note(nil, b.FromStore)
+	l.logAvailability(nil, b.FromStore)
 	if fresh {
-		// This process has had fresh records all the time: its source alone had lost the store, and upstreams whose records
-		// went have gone. With the grace of a first reader that was cut off the last process knew after 4.5 s.
+		// This process had fresh records throughout. Only its source had lost the store, so upstreams whose records are
+		// gone have left and get no grace period. With the grace period of a first reader that was cut off, the last
+		// process learned of a removal after 4.5 s.
 		return
 	}
-	if l.absent != nil {
-		l.absent.ExtendGrace(b.GraceUntil)
+	if l.absences != nil {
+		l.absences.ExtendGrace(b.GraceUntil)
 	}
-	if l.started && l.next >= b.OutageEnd.next && b.OutageEnd.at.After(l.returned.at) {
-		l.returned = b.OutageEnd
+	if l.started && l.next >= b.OutageEnd.next && b.OutageEnd.at.After(l.lastOutage.at) {
+		l.lastOutage = b.OutageEnd
 	}
-	if l.started && l.absent != nil && b.FirstReadAt.After(l.confirmed) {
-		// The source started after this process had lost the store, and can't tell whether it was away.
-		l.absent.NoteListReturned()
+	if l.started && l.absences != nil && b.FirstReadAt.After(l.confirmedAt) {
+		// The source started after this process lost the store, so it cannot tell whether there was an outage.
+		l.absences.NoteListReturned()
 	}
 }
 
-// errAway says that the store gave no answer for longer than records are fresh.
-var errAway = errors.New("the store gave no answer for too long")
+// errStoreUnavailable is logged when the store gave no answer for longer than records stay fresh.
+var errStoreUnavailable = errors.New("no answer from the store for too long")
 
-// outageEnd is the end of a time in which the store was away for a process and its sources, for longer than awayFor: a
-// shorter one may have been that process's own, as answers get lost or are slow at its start, while others read what
-// was written.
+// outageEnd is the end of a store outage that a process and its sources saw for longer than outageThreshold. A shorter
+// one may be limited to that process, as answers get lost or are slow at its start while others read new records.
 type outageEnd struct {
-	// at is when the process asked in vain for the last time: the store may have been back from then on.
+	// at is when the last failed request to the store began; the store may have been available from then on.
 	at time.Time
-	// next is the offset up to which the process had read. Of what was written before, the outage says nothing: a
-	// process that starts after it reads all of that at once.
+	// next is the offset up to which the process had read before the outage. The outage does not date earlier records:
+	// a process that starts after it reads all of them at once.
 	next id.Position
 }
 
-// unread is the moment from which on records may have been written that were not read here; zero where none is known.
-// The time in which nobody could read is left out: operators count from when a version can be known; where somebody had
-// the record before the return, the store was away for this process alone. The caller holds the lock.
-func (l *Log) unread(had time.Time) (time.Time, dating.Evidence) {
+// unreadSince returns the time after which records may have been written without being read here, with its evidence;
+// zero if unknown. An outage of the store is left out, as operators count from when a version can be known. If another
+// process held the record before the outage ended, the store was unavailable for this process only. The caller holds
+// the lock.
+func (l *Log) unreadSince(knownAt time.Time) (time.Time, dating.Evidence) {
 	switch {
-	case l.returned.at.After(l.settled) && (had.IsZero() || !l.returned.at.After(had)):
-		return l.returned.at, dating.StoreReturn
-	case l.settled.IsZero():
-		return l.settled, dating.NoEvidence
+	case l.lastOutage.at.After(l.caughtUpAt) && (knownAt.IsZero() || !l.lastOutage.at.After(knownAt)):
+		return l.lastOutage.at, dating.StoreReturn
+	case l.caughtUpAt.IsZero():
+		return l.caughtUpAt, dating.NoEvidence
 	default:
-		return l.settled, dating.EarlierRead
+		return l.caughtUpAt, dating.EarlierRead
 	}
 }
 
-// bound dates a record that has not been read here before; the caller holds the lock.
-func (l *Log) bound(r *Record) {
-	// A date that contradicts what its teller knows must not hide the own one.
+// setTimeBounds sets the lower time bound of a record that was not read here before. The caller holds the lock.
+func (l *Log) setTimeBounds(r *Record) {
+	// Bounds that contradict each other must not hide this process's own lower bound.
 	r.TimeBounds, _ = dating.TimeBounds{}.Merge(r.TimeBounds)
-	at, e := l.unread(r.KnownAt)
+	at, e := l.unreadSince(r.KnownAt)
 	r.UnreadSince = at
 	if at.After(r.After) {
-		r.After, r.Source = at, dating.DateSource{Observer: l.turn.self, Evidence: e}
+		r.After, r.Source = at, dating.DateSource{Observer: l.lease.self, Evidence: e}
 	}
 }
 
-// NoteStoreFailure notes that the store can't be reached. While another process still hands fresh records on, nothing is lost: upstreams
-// whose records go are gone, and get no grace.
+// NoteStoreFailure notes a failed request to the store. While another process still hands over fresh records, they are
+// not lost: upstreams whose records are removed have left and get no grace period.
 func (l *Log) NoteStoreFailure(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.failed = l.now()
-	if l.now().Sub(l.confirmed) > freshMost {
-		l.note(err, true)
+	l.storeFailedAt = l.now()
+	if l.now().Sub(l.confirmedAt) > maxFreshAge {
+		l.logAvailability(err, true)
 	}
 }
 
-// missed notes that this process can't read on where it has read to.
-func (l *Log) missed() {
+// noteReadExpired notes that the store no longer serves records from the offset that this process has reached.
+func (l *Log) noteReadExpired() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.failed = l.now()
+	l.storeFailedAt = l.now()
 }
 
-// note logs when the records are lost and when they are to be had again. Where another process hands on what it has read
-// meanwhile, the store was not away for all, and its word on a grace counts. The caller holds the lock.
-func (l *Log) note(err error, own bool) {
+// logAvailability logs when the records are lost and when they are available again. If another process provides them,
+// the store was not unavailable to all, and that process decides on a grace period. The caller holds the lock.
+func (l *Log) logAvailability(err error, fromStore bool) {
 	switch {
-	case err != nil && !l.lost:
+	case err != nil && !l.storeLost:
 		l.log.Warn().Err(err).Str("topic", l.topic.Name).Uint64("next", l.next.Offset()).Uint64("era", l.next.Era()).Msg("the store is lost")
-	case err == nil && l.lost && !own:
-		l.log.Info().Str("topic", l.topic.Name).Uint64("next", l.next.Offset()).Uint64("era", l.next.Era()).Msg("another process hands the records on")
-	case err == nil && l.lost:
+	case err == nil && l.storeLost && !fromStore:
+		l.log.Info().Str("topic", l.topic.Name).Uint64("next", l.next.Offset()).Uint64("era", l.next.Era()).Msg("another process provides the records")
+	case err == nil && l.storeLost:
 		l.log.Info().Str("topic", l.topic.Name).Uint64("next", l.next.Offset()).Uint64("era", l.next.Era()).Msg("the store is back")
-		if l.absent != nil {
-			l.absent.NoteListReturned()
+		if l.absences != nil {
+			l.absences.NoteListReturned()
 		}
 	}
-	l.lost = err != nil
+	l.storeLost = err != nil
 }
 
-// fresh says whether the store has confirmed lately, and since this process failed to read it, that nothing is missing.
+// fresh reports whether the store has recently confirmed, and after this process's last failed request, that no record
+// is missing.
 func (l *Log) fresh() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.isFresh()
+	return l.freshLocked()
 }
 
-func (l *Log) isFresh() bool {
-	return l.confirmed.After(l.failed) && l.now().Sub(l.confirmed) < freshMost
+// freshLocked is fresh for callers that hold the lock.
+func (l *Log) freshLocked() bool {
+	return l.confirmedAt.After(l.storeFailedAt) && l.now().Sub(l.confirmedAt) < maxFreshAge
 }
 
-// ownFresh says whether the records are fresh and the newest of them read by this process itself.
-func (l *Log) ownFresh() bool {
+// freshFromStore reports whether the records are fresh and this process itself has recently read them from the store.
+func (l *Log) freshFromStore() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.isFresh() && l.own.After(l.failed) && l.now().Sub(l.own) < freshMost
+	return l.freshLocked() && l.storeReadAt.After(l.storeFailedAt) && l.now().Sub(l.storeReadAt) < maxFreshAge
 }
 
-// storeFailed says whether this process has asked the store itself since the records were last confirmed, in vain.
+// storeFailed reports whether a request of this process to the store has failed since the records were last confirmed.
 func (l *Log) storeFailed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.failed.After(l.confirmed)
+	return l.storeFailedAt.After(l.confirmedAt)
 }
 
-// Age is how long ago the store confirmed that nothing is missing.
+// Age returns the time since the store confirmed that no record is missing.
 func (l *Log) Age() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.now().Sub(l.confirmed)
+	return l.now().Sub(l.confirmedAt)
 }
--- a/internal/records/blame_test.go
+++ b/internal/records/blame_test.go
@@ -23,18 +23,18 @@
 	BeforeEach(func() {
 		out.Reset()
 		logger := &log.Logger{Level: log.InfoLevel, Writer: log.IOWriter{Writer: &out}}
-		l = NewLog(Topic{Name: "a"}, facts.New(time.Now), func() time.Time { return now }, quiet)
+		l = NewLog(Topic{Name: "a"}, facts.New(time.Now), func() time.Time { return now }, silentLogger)
 		f = &Follower{
-			logs: []*Log{l}, gate: &gate{closed: make(chan struct{})}, long: &gate{}, self: "self", domain: "d", gateways: func() []string { return nil },
-			now: func() time.Time { return now }, log: logger, vars: new(expvar.Map), hint: newHint(time.Now),
-			blamed: map[string]time.Time{}, behind: map[string]time.Time{}, lacking: map[string]time.Time{},
+			logs: []*Log{l}, upstreamsGate: &gate{closed: make(chan struct{})}, operatorsGate: &gate{}, self: "self", domain: "d", gateways: func() []string { return nil },
+			now: func() time.Time { return now }, log: logger, metrics: new(expvar.Map), hint: newSourceHint(time.Now),
+			avoidUntil: map[string]time.Time{}, followsThisUntil: map[string]time.Time{}, withoutStoreUntil: map[string]time.Time{},
 		}
 	})
 
-	It("does not warn of a source that has none either, and gives no age", func() {
-		err := f.check(&pb.FollowResponse{Topics: []*pb.TopicChanges{{Topic: "a", AgeMs: l.Age().Milliseconds()}}})
+	It("logs a source without records at info level and without an age", func() {
+		err := f.checkAnswer(&pb.FollowResponse{Topics: []*pb.TopicChanges{{Topic: "a", AgeMs: l.Age().Milliseconds()}}})
 		Expect(err).To(MatchError(errStale))
-		f.blame("10.0.0.1:1", err)
+		f.avoid("10.0.0.1:1", err)
 		Expect(out.String()).To(And(ContainSubstring("another source of records is needed"), ContainSubstring("not read yet")))
 		Expect(out.String()).NotTo(Or(ContainSubstring(`"level":"warn"`), ContainSubstring("age_ms"), ContainSubstring("2562047h")))
 	})
--- a/internal/records/changes.go
+++ b/internal/records/changes.go
@@ -7,79 +7,82 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// Changes is what a follower is told.
+// Changes is a follower's update: the changes of a topic after its cursor, or a snapshot.
 type Changes struct {
-	Records  []told
+	Records  []outgoingRecord
 	Snapshot bool
-	// LastChange is the number of the last change.
+	// LastChange is the number of the newest change.
 	LastChange uint64
-	Next       id.Position
-	Age        time.Duration
-	Grace      time.Duration
-	// CaughtUpAge is how long ago the store is known to have had nothing from Next on; below 0 where that is not known.
+	// Next is the offset of the first record not read.
+	Next id.Position
+	// Age is the time since the store confirmed that no record is missing.
+	Age time.Duration
+	// Grace is the remaining grace period, within which removed keys may return.
+	Grace time.Duration
+	// CaughtUpAge is the time since the store was known to hold nothing from Next on; negative if unknown.
 	CaughtUpAge time.Duration
-	// OutageEndAge is how long ago the store was to be had again; below 0 where it has not been away. OutageOffset is the
-	// offset up to which it had been read before that.
+	// OutageEndAge is the time since the last store outage ended; negative if there was none. OutageOffset is the
+	// offset up to which the topic had been read before that outage.
 	OutageEndAge time.Duration
 	OutageOffset id.Position
-	// FirstReadAge is how long ago the topic was read for the first time.
+	// FirstReadAge is the time since the topic was first read; negative if it was not.
 	FirstReadAge time.Duration
 	Digest       uint64
-	// HasGap says that the changes leave out what came and went from GapFrom on.
+	// HasGap says that the changes omit keys that were both written and dropped from GapFrom on.
 	HasGap  bool
 	GapFrom id.Position
 }
 
-// Cursor is how far a follower has come.
+// Cursor is a follower's progress in a topic.
 type Cursor struct {
-	// Epoch is the start of the source that Change belongs to, and Change the number of the last change that it has of that.
+	// Epoch identifies the source's process lifetime, and Change is the number of the last change received from it.
 	Epoch, Change uint64
-	// Next is the offset up to which it has read all, from whomever; 0 where it has read nothing.
+	// Next is the offset up to which the follower has read everything, from any source; 0 if it has read nothing.
 	Next id.Position
 }
 
-// askWhole is a change that no source has reached: the answer to it is the whole.
-const askWhole = math.MaxUint64
+// requestSnapshot is a change number that no source reaches, so that the answer is a snapshot.
+const requestSnapshot = math.MaxUint64
 
-// ChangesSince returns what has changed after a position, and a channel that closes with the next change. It is false before the
-// first whole reading.
-func (l *Log) ChangesSince(p Cursor) (Changes, <-chan struct{}, bool) {
+// ChangesSince returns the changes after a cursor, and a channel that closes at the next change. It returns false until
+// the topic has been read for the first time.
+func (l *Log) ChangesSince(cursor Cursor) (Changes, <-chan struct{}, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	c := Changes{LastChange: l.changes, Next: l.next, Age: now.Sub(l.confirmed), CaughtUpAge: sinceKnown(now, l.settled), Digest: l.digest}
-	c.OutageEndAge, c.FirstReadAge = sinceKnown(now, l.returned.at), sinceKnown(now, l.began)
-	c.OutageOffset = l.returned.next
-	if l.absent != nil {
-		c.Grace = l.absent.RemainingGrace()
+	c := Changes{LastChange: l.lastChange, Next: l.next, Age: now.Sub(l.confirmedAt), CaughtUpAge: ageOrUnknown(now, l.caughtUpAt), Digest: l.digest}
+	c.OutageEndAge, c.FirstReadAge = ageOrUnknown(now, l.lastOutage.at), ageOrUnknown(now, l.firstReadAt)
+	c.OutageOffset = l.lastOutage.next
+	if l.absences != nil {
+		c.Grace = l.absences.RemainingGrace()
 	}
-	follows := p.Epoch == l.epoch && p.Change >= l.forgotten && p.Change <= l.changes
-	resumes := !follows && p.Change != askWhole && l.resumable(p.Next)
-	c.Snapshot = !follows && !resumes
+	incremental := cursor.Epoch == l.epoch && cursor.Change >= l.forgottenChange && cursor.Change <= l.lastChange
+	resumes := !incremental && cursor.Change != requestSnapshot && l.canResumeFrom(cursor.Next)
+	c.Snapshot = !incremental && !resumes
 	c.GapFrom = l.gap.from
-	c.HasGap = (follows && p.Change < l.gap.change) || (resumes && p.Next < l.gap.to)
+	c.HasGap = (incremental && cursor.Change < l.gap.change) || (resumes && cursor.Next < l.gap.to)
 	for _, e := range l.entries {
 		switch {
 		case c.Snapshot && e.Value != nil:
-			c.Records = append(c.Records, e.tell(false, now, l.log))
-		case follows && e.change > p.Change:
-			c.Records = append(c.Records, e.tell(e.beforeChange <= p.Change, now, l.log))
-		case resumes && e.Position >= p.Next:
-			c.Records = append(c.Records, e.tell(e.before.Position < p.Next, now, l.log))
+			c.Records = append(c.Records, e.outgoing(false, now, l.log))
+		case incremental && e.change > cursor.Change:
+			c.Records = append(c.Records, e.outgoing(e.previousChange <= cursor.Change, now, l.log))
+		case resumes && e.Position >= cursor.Next:
+			c.Records = append(c.Records, e.outgoing(e.previous.Position < cursor.Next, now, l.log))
 		}
 	}
 	return c, l.changed, l.started
 }
 
-// resumable says whether a follower that has read all up to an offset can be told the rest: a change of the source costs it
-// what is new then, not a configuration of 600 KB. The caller holds the lock.
-func (l *Log) resumable(next id.Position) bool {
+// canResumeFrom reports whether a follower that has read everything up to an offset can get only the later changes.
+// Without this, each change of source costs it a configuration of 600 KB. The caller holds the lock.
+func (l *Log) canResumeFrom(next id.Position) bool {
 	inGap := l.gap.from < next && next < l.gap.to
-	return next > 0 && next >= l.forgottenTo && !inGap
+	return next > 0 && next >= l.dropsKnownFrom && !inGap
 }
 
-// sinceKnown is the time since a moment, or -1 where none is known.
-func sinceKnown(now, t time.Time) time.Duration {
+// ageOrUnknown returns the time since t, or -1 if t is zero.
+func ageOrUnknown(now, t time.Time) time.Duration {
 	if t.IsZero() {
 		return -1
 	}
--- a/internal/records/choose.go
+++ b/internal/records/choose.go
@@ -7,16 +7,16 @@
 	"github.com/springrail/springrail/internal/rendezvous"
 )
 
-// Sources lists the gateways of a failure domain that a process follows, the best first. All order them alike, and a
-// gateway prefers only those before it: so the first one reads the store and the others follow it, without a message.
-// Those behind it are for a gateway that can't reach the store itself.
+// Sources returns the other gateways of a failure domain in the order in which a process follows them. All processes
+// compute the same order, and a gateway prefers only those before it: without any message the first one reads the store
+// and the others follow it. Those after it are for a gateway that cannot reach the store itself.
 func Sources(d id.Domain, gateways []string, self string) (preferred, others []string) {
 	vms := make([]id.VM, len(gateways))
 	for i, a := range gateways {
 		vms[i] = id.VM(a)
 	}
 	var order []string
-	for _, v := range rendezvous.Order(orderKey+string(d), vms) {
+	for _, v := range rendezvous.Order(sourceOrderKey+string(d), vms) {
 		order = append(order, string(v))
 	}
 	i := slices.Index(order, self)
@@ -26,68 +26,70 @@
 	return order[:i], order[i+1:]
 }
 
-// orderKey sets the order of readers apart from other orders of the same processes.
-const orderKey = "records/"
+// sourceOrderKey makes the order of readers independent of other rendezvous orders of the same processes.
+const sourceOrderKey = "records/"
 
-// choose picks the source to follow: a preferred one, or any other while this process does not get through to the store;
-// empty is none.
-func (f *Follower) choose() (address string, preferred bool) {
-	f.viaPeer, f.lookedWithList = false, f.listed()
+// chooseSource returns the source to follow: a preferred one, or any other while this process cannot reach the store;
+// empty if there is none.
+func (f *Follower) chooseSource() (address string, preferred bool) {
+	f.viaPeer, f.choseWithList = false, f.upstreamsRead()
 	known := f.gateways()
-	first, others := Sources(f.domain, known, f.self)
-	if a := f.hinted(); a != "" {
-		return a, len(known) == 0 || slices.Contains(first, a)
+	preferredSources, fallbacks := Sources(f.domain, known, f.self)
+	if a := f.hintedSource(); a != "" {
+		return a, len(known) == 0 || slices.Contains(preferredSources, a)
 	}
-	if a := f.sound(first); a != "" {
+	if a := f.firstUsable(preferredSources); a != "" {
 		return a, true
 	}
-	// A gateway that is known itself is to read the store where none goes before it.
-	if !f.started() || len(known) == 0 {
-		if a := f.sound(f.peerOrder()); a != "" {
+	// A gateway that is itself listed must read the store if no gateway precedes it.
+	if !f.allRead() || len(known) == 0 {
+		if a := f.firstUsable(f.peerOrder()); a != "" {
 			f.viaPeer = true
 			return a, true
 		}
 	}
-	if f.now().Sub(f.origin.ownAt()) > freshMost {
-		if slices.Contains(others, f.source) && f.sound([]string{f.source}) != "" {
-			// The others may follow this process by now.
+	if f.now().Sub(f.origin.lastStoreRead()) > maxFreshAge {
+		if slices.Contains(fallbacks, f.source) && f.firstUsable([]string{f.source}) != "" {
+			// The other gateways may follow this process by now, so the current source is kept.
 			return f.source, false
 		}
-		return f.sound(others), false
+		return f.firstUsable(fallbacks), false
 	}
 	return "", false
 }
 
-// hinted is a process that is known to read the store while this one has no fresh records; empty is none.
-func (f *Follower) hinted() string {
-	a, news := f.hint.get()
-	if a == f.self || f.age() < freshMost {
+// hintedSource returns a process that is known to read the store, while this one has no fresh records; empty if there
+// is none.
+func (f *Follower) hintedSource() string {
+	a, isNew := f.hint.get()
+	if a == f.self || f.oldestAge() < maxFreshAge {
 		return ""
 	}
-	if news {
-		delete(f.blamed, a)
+	if isNew {
+		delete(f.avoidUntil, a)
 	}
-	return f.sound([]string{a})
+	return f.firstUsable([]string{a})
 }
 
-// peerOrder lists the peers in an order of this process's own, so that processes that start together ask different ones.
+// peerOrder returns the peers in an order that differs between processes, so that those that start together do not all
+// ask the same peer.
 func (f *Follower) peerOrder() []string {
 	var vms []id.VM
 	for _, a := range f.peers() {
 		vms = append(vms, id.VM(a))
 	}
 	var l []string
-	for _, v := range rendezvous.Order(peerKey+f.self, vms) {
+	for _, v := range rendezvous.Order(peerOrderKey+f.self, vms) {
 		l = append(l, string(v))
 	}
 	return l
 }
 
-// peerKey sets the order of peers apart from other orders of the same processes.
-const peerKey = "records/peers/"
+// peerOrderKey makes the order of peers independent of other rendezvous orders of the same processes.
+const peerOrderKey = "records/peers/"
 
-// started says whether all topics have been read.
-func (f *Follower) started() bool {
+// allRead reports whether every topic has been read.
+func (f *Follower) allRead() bool {
 	for _, l := range f.logs {
 		if _, ok := l.Position(); !ok {
 			return false
@@ -96,12 +98,12 @@
 	return true
 }
 
-// sound returns the first address that is not blamed.
-func (f *Follower) sound(l []string) string {
+// firstUsable returns the first address that is not avoided at present; empty if there is none.
+func (f *Follower) firstUsable(l []string) string {
 	now := f.now()
-	fresh := f.age() < freshMost
+	fresh := f.oldestAge() < maxFreshAge
 	for _, a := range l {
-		if a != "" && now.After(f.blamed[a]) && (!fresh || !now.Before(f.behind[a])) {
+		if a != "" && now.After(f.avoidUntil[a]) && (!fresh || !now.Before(f.followsThisUntil[a])) {
 			return a
 		}
 	}
--- a/internal/records/claim.go
+++ b/internal/records/claim.go
@@ -8,32 +8,33 @@
 	pb "github.com/springrail/springrail/gen/springrail/v1"
 )
 
-// claim asks the other processes of the failure domain whether this one may read a topic whole from the store. Where another
-// one reads it, or has it, that one is followed.
-func (f *Follower) claim(ctx context.Context, l *Log, failed bool) bool {
-	round := append(f.claimees(), l.turn.claim(failed)...)
-	asked := map[string]bool{f.self: true}
+// requestLease asks the other processes of the failure domain for the lease to read a topic's snapshot from the store.
+// If it is refused, the process that reads the topic, or holds it, becomes the hinted source.
+func (f *Follower) requestLease(ctx context.Context, l *Log, failed bool) bool {
+	targets := append(f.leasePeers(), l.lease.request(failed)...)
+	contacted := map[string]bool{f.self: true}
 	c := &pb.Claim{Topic: l.topic.Name, Claimant: f.self, Domain: string(f.domain), Failed: failed}
-	for len(round) > 0 {
-		var rivals []string
-		for _, a := range f.askAll(ctx, round, asked, c) {
+	for len(targets) > 0 {
+		var others []string
+		for _, a := range f.askAll(ctx, targets, contacted, c) {
 			if a.GetRefused() {
-				l.turn.end()
+				l.lease.release()
 				f.hint.set(a.GetFollow())
-				f.vars.Add("claims_refused", 1)
+				f.metrics.Add("claims_refused", 1)
 				return false
 			}
-			rivals = append(rivals, a.GetRivals()...)
+			others = append(others, a.GetRivals()...)
 		}
-		round = rivals
+		targets = others
 	}
-	return l.turn.begin()
+	return l.lease.acquire()
 }
 
-// claimees lists whom a claim is told at first: the gateways of the failure domain, and before any is known the
-// processes that the settings name. All that start together know these, and learn of each other from them: without, all
-// processes of a domain read a configuration of 358 KB at once after a loss of power, 1.3 to 2.1 s each.
-func (f *Follower) claimees() []string {
+// leasePeers returns the processes that a lease request goes to first: the gateways of the failure domain, and the
+// configured seeds while fewer than two gateways are known. Processes that start together share the seeds and learn of
+// each other from them. Without seeds, all processes of a domain read a configuration of 358 KB at once after a power
+// failure, in 1.3 to 2.1 s each.
+func (f *Follower) leasePeers() []string {
 	l := f.gateways()
 	if len(l) < 2 {
 		l = append(l, f.seeds...)
@@ -41,22 +42,23 @@
 	return l
 }
 
-// askAll asks processes that have not been asked yet at the same time, and returns the answers that come in time.
-func (f *Follower) askAll(ctx context.Context, addresses []string, asked map[string]bool, c *pb.Claim) []*pb.ClaimAnswer {
-	ctx, stop := context.WithTimeout(ctx, claimWait)
+// askAll sends a lease request in parallel to all processes that have not been asked yet, and returns the answers that
+// arrive in time.
+func (f *Follower) askAll(ctx context.Context, addresses []string, contacted map[string]bool, c *pb.Claim) []*pb.ClaimAnswer {
+	ctx, stop := context.WithTimeout(ctx, leaseRequestTimeout)
 	defer stop()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var l []*pb.ClaimAnswer
 	for _, address := range addresses {
-		if asked[address] {
+		if contacted[address] {
 			continue
 		}
-		asked[address] = true
+		contacted[address] = true
 		wg.Go(func() {
 			a, err := f.ask(ctx, address, &pb.FollowRequest{Claim: c})
 			if err != nil {
-				// It is taken to agree.
+				// A process that does not answer counts as agreeing.
 				return
 			}
 			mu.Lock()
@@ -68,21 +70,21 @@
 	return l
 }
 
-// answerClaim is what this process says to another one's claim. One that has read the store since it last failed there
-// is followed, and so is the one that is let read: its word comes sooner than any question whether it has the records
-// by now.
-func (s *Service) answerClaim(c *pb.Claim) *pb.FollowResponse {
+// answerLeaseRequest answers another process's lease request. A request is refused by a process with fresh records of
+// its own from the store. A requester that is not refused becomes the hinted source here: its request announces the new
+// records sooner than polling would.
+func (s *Service) answerLeaseRequest(c *pb.Claim) *pb.FollowResponse {
 	if c.GetDomain() != string(s.domain) {
-		return &pb.FollowResponse{Claim: &pb.ClaimAnswer{Rivals: s.elsewhere.claimed(c)}}
+		return &pb.FollowResponse{Claim: &pb.ClaimAnswer{Rivals: s.remoteRequests.register(c)}}
 	}
 	for _, l := range s.logs {
 		if l.topic.Name != c.GetTopic() {
 			continue
 		}
-		if l.ownFresh() {
-			return &pb.FollowResponse{Claim: &pb.ClaimAnswer{Refused: true, Follow: l.turn.self}}
+		if l.freshFromStore() {
+			return &pb.FollowResponse{Claim: &pb.ClaimAnswer{Refused: true, Follow: l.lease.self}}
 		}
-		a := l.turn.answer(c.GetClaimant(), c.GetFailed())
+		a := l.lease.answerRequest(c.GetClaimant(), c.GetFailed())
 		if !a.GetRefused() {
 			s.hint.set(c.GetClaimant())
 		}
@@ -91,92 +93,95 @@
 	return &pb.FollowResponse{Claim: &pb.ClaimAnswer{}}
 }
 
-// elsewhere are the claims of processes of other failure domains, which know this one from their settings.
-type elsewhere struct {
+// remoteRequests holds the lease requests of processes of other failure domains, which reach this one as a configured
+// seed.
+type remoteRequests struct {
 	now func() time.Time
 
-	mu sync.Mutex
-	of map[elsewhereTopic]rivals
+	mu      sync.Mutex
+	byTopic map[remoteTopic]requesters
 }
 
-// elsewhereTopic is a topic that is claimed in a failure domain.
-type elsewhereTopic struct {
+// remoteTopic is a topic as read in another failure domain.
+type remoteTopic struct {
 	domain, topic string
 }
 
-// mostElsewhere bounds the failure domains and topics that claims are kept of; the users' target has 8 domains.
-const mostElsewhere = 64
+// maxRemoteTopics bounds the pairs of failure domain and topic for which lease requests are kept; the largest planned
+// deployment has 8 domains.
+const maxRemoteTopics = 64
 
-// claimed notes a claim and returns the others.
-func (e *elsewhere) claimed(c *pb.Claim) []string {
+// register adds a lease request and returns the other recent requesters of the same domain and topic.
+func (e *remoteRequests) register(c *pb.Claim) []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	k := elsewhereTopic{domain: c.GetDomain(), topic: c.GetTopic()}
-	r := e.of[k]
+	k := remoteTopic{domain: c.GetDomain(), topic: c.GetTopic()}
+	r := e.byTopic[k]
 	if r == nil {
-		if len(e.of) >= mostElsewhere {
+		if len(e.byTopic) >= maxRemoteTopics {
 			return nil
 		}
-		r = rivals{}
-		e.of[k] = r
+		r = requesters{}
+		e.byTopic[k] = r
 	}
 	now := e.now()
-	l := r.but(c.GetClaimant(), now)
-	r.note(c.GetClaimant(), now)
+	l := r.except(c.GetClaimant(), now)
+	r.add(c.GetClaimant(), now)
 	return l
 }
 
-// hintFor is how long a process that reads, or has the records, goes before the usual sources.
-const hintFor = 2 * time.Second
+// hintTTL is how long a hinted source takes precedence over the usual sources.
+const hintTTL = 2 * time.Second
 
-// hint is a process that is known to read the store, to have its records or to be about to, for a process that has neither. It is
-// asked again soon where it does not have them yet.
-type hint struct {
+// sourceHint is a process that reads the store, has its records or is about to read them. A process without fresh
+// records follows it, and retries it soon if it does not have them yet.
+type sourceHint struct {
 	now func() time.Time
 
 	mu      sync.Mutex
 	address string
 	until   time.Time
-	// fresh is true until the hint has been taken up.
-	fresh bool
-	// given closes with the next hint.
-	given chan struct{}
+	// isNew is true until get has returned the hint once.
+	isNew bool
+	// updated closes at the next hint.
+	updated chan struct{}
 }
 
-func newHint(now func() time.Time) *hint {
-	return &hint{now: now, given: make(chan struct{})}
+func newSourceHint(now func() time.Time) *sourceHint {
+	return &sourceHint{now: now, updated: make(chan struct{})}
 }
 
-func (h *hint) set(address string) {
+// set replaces the hint and wakes waiters.
+func (h *sourceHint) set(address string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.address, h.until, h.fresh = address, h.now().Add(hintFor), true
-	close(h.given)
-	h.given = make(chan struct{})
+	h.address, h.until, h.isNew = address, h.now().Add(hintTTL), true
+	close(h.updated)
+	h.updated = make(chan struct{})
 }
 
-// get returns the process named, empty for none, and whether that is news.
-func (h *hint) get() (address string, news bool) {
+// get returns the hinted process, empty if there is none, and whether the hint is new since the last call.
+func (h *sourceHint) get() (address string, isNew bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.now().Before(h.until) {
 		return "", false
 	}
-	news, h.fresh = h.fresh, false
-	return h.address, news
+	isNew, h.isNew = h.isNew, false
+	return h.address, isNew
 }
 
-// names says whether a process is the one named.
-func (h *hint) names(address string) bool {
+// matches reports whether a process is the hinted one.
+func (h *sourceHint) matches(address string) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.address == address && h.now().Before(h.until)
 }
 
-// wait waits for a time, the next hint or the context's end.
-func (h *hint) wait(ctx context.Context, d time.Duration) {
+// wait returns after d, at the next hint or when the context ends.
+func (h *sourceHint) wait(ctx context.Context, d time.Duration) {
 	h.mu.Lock()
-	c := h.given
+	c := h.updated
 	h.mu.Unlock()
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/records/dated_test.go
+++ b/internal/records/dated_test.go
@@ -14,8 +14,8 @@
 	"github.com/springrail/springrail/internal/platform"
 )
 
-var _ = Describe("a process that takes over the reading", func() {
-	It("does not wait at the store first, as the others wait for what it has read", func() {
+var _ = Describe("a process that takes over reading the store", func() {
+	It("does not wait for a change in its first read", func() {
 		waits := make(chan time.Duration, 8)
 		g := &gate{}
 		r := &Reader{
@@ -24,8 +24,8 @@
 				kernel.Pause(ctx, 20*time.Millisecond)
 				return ReadResult{Next: from, End: from}, nil
 			}},
-			log: NewLog(Topic{Name: "t"}, facts.New(time.Now), time.Now, quiet), facts: facts.New(time.Now), gate: g,
-			now: time.Now, own: func() {}, tryPause: func() time.Duration { return retryPause }, wait: time.Second,
+			log: NewLog(Topic{Name: "t"}, facts.New(time.Now), time.Now, silentLogger), facts: facts.New(time.Now), gate: g,
+			now: time.Now, onStoreRead: func() {}, backoff: func() time.Duration { return retryPause }, wait: time.Second,
 		}
 		r.log.Merge(Batch{Snapshot: true, Next: 1, ConfirmedAt: time.Now()})
 		g.set(false)
@@ -39,78 +39,78 @@
 	})
 })
 
-var _ = Describe("a record that a process has from another one", func() {
-	It("comes with a moment at which the store did not have it yet", func() {
+var _ = Describe("the time bounds of a record from another process", func() {
+	It("include a time at which the store did not hold the record yet", func() {
 		first, second, _ := pair(nil)
 		Eventually(func() string { return second.value("u") }).Should(Equal("here"))
-		put := time.Now()
-		first.store.put("op", "version", "2")
+		writtenBefore := time.Now()
+		first.store.write("op", "version", "2")
 		Eventually(func() string { return second.value("version") }).Should(Equal("2"))
 		l := second.service.logs[0]
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		Expect(l.entries["version"].After).To(BeTemporally("<=", put))
-		Expect(l.entries["version"].After).To(BeTemporally("~", put, time.Second))
+		Expect(l.entries["version"].After).To(BeTemporally("<=", writtenBefore))
+		Expect(l.entries["version"].After).To(BeTemporally("~", writtenBefore, time.Second))
 	})
 
-	It("is dated by the store's return where nobody could read it before, and no earlier one is taken for missed", func() {
+	It("begin at the end of an outage of the store that all processes saw, and UnreadSince is no earlier", func() {
 		now := time.Now()
 		var got Record
 		topic := Topic{Name: "t", Apply: func(r Record) error {
 			got = r
 			return nil
 		}}
-		l := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, quiet)
+		l := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, silentLogger)
 		l.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: now, CaughtUpAt: now, FromStore: true})
-		now = now.Add(awayFor + time.Second)
+		now = now.Add(outageThreshold + time.Second)
 		l.NoteStoreFailure(platform.ErrUnavailable)
-		back := now.Add(-200 * time.Millisecond)
+		outageEndAt := now.Add(-200 * time.Millisecond)
 		r := Record{Key: "version", Value: []byte("2"), Position: 4}
-		l.Merge(Batch{Records: []Record{r}, Next: 5, ConfirmedAt: now, CaughtUpAt: now, LastFailedAt: back, FromStore: true, Uninterrupted: true})
-		Expect([]time.Time{got.After, got.UnreadSince}).To(Equal([]time.Time{back, back}))
+		l.Merge(Batch{Records: []Record{r}, Next: 5, ConfirmedAt: now, CaughtUpAt: now, LastFailedAt: outageEndAt, FromStore: true, Uninterrupted: true})
+		Expect([]time.Time{got.After, got.UnreadSince}).To(Equal([]time.Time{outageEndAt, outageEndAt}))
 
-		short := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, quiet)
-		last := now.Add(-awayFor)
-		short.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: last, CaughtUpAt: last, FromStore: true})
-		short.NoteStoreFailure(platform.ErrUnavailable)
-		short.Merge(Batch{Records: []Record{r}, Next: 5, ConfirmedAt: now, CaughtUpAt: now, LastFailedAt: back, FromStore: true, Uninterrupted: true})
-		Expect([]time.Time{got.After, got.UnreadSince}).To(Equal([]time.Time{last, last}), "others may have read what was written meanwhile")
+		shortOutage := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, silentLogger)
+		lastRead := now.Add(-outageThreshold)
+		shortOutage.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: lastRead, CaughtUpAt: lastRead, FromStore: true})
+		shortOutage.NoteStoreFailure(platform.ErrUnavailable)
+		shortOutage.Merge(Batch{Records: []Record{r}, Next: 5, ConfirmedAt: now, CaughtUpAt: now, LastFailedAt: outageEndAt, FromStore: true, Uninterrupted: true})
+		Expect([]time.Time{got.After, got.UnreadSince}).To(Equal([]time.Time{lastRead, lastRead}), "the outage was too short: others may have read what was written meanwhile")
 
-		stood := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, quiet)
-		asked := now.Add(-awayFor - time.Second)
-		stood.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: asked, CaughtUpAt: asked, FromStore: true})
-		stood.NoteStoreFailure(platform.ErrUnavailable)
-		stood.Merge(Batch{Records: []Record{r}, Next: 5, ConfirmedAt: now, CaughtUpAt: now, LastFailedAt: back, FromStore: true})
-		Expect(got.After).To(Equal(asked), "it stood still itself")
+		suspended := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, silentLogger)
+		lastCall := now.Add(-outageThreshold - time.Second)
+		suspended.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: lastCall, CaughtUpAt: lastCall, FromStore: true})
+		suspended.NoteStoreFailure(platform.ErrUnavailable)
+		suspended.Merge(Batch{Records: []Record{r}, Next: 5, ConfirmedAt: now, CaughtUpAt: now, LastFailedAt: outageEndAt, FromStore: true})
+		Expect(got.After).To(Equal(lastCall), "this process was suspended itself")
 
-		follower := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, quiet)
-		follower.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: asked, CaughtUpAt: asked})
-		told := dating.TimeBounds{After: back}
+		follower := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, silentLogger)
+		follower.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: lastCall, CaughtUpAt: lastCall})
+		sourceBounds := dating.TimeBounds{After: outageEndAt}
 		follower.Merge(Batch{
-			Records: []Record{{Key: "version", Value: []byte("2"), Position: 4, TimeBounds: told}}, Next: 5, ConfirmedAt: now,
-			OutageEnd: outageEnd{at: back, next: 4},
+			Records: []Record{{Key: "version", Value: []byte("2"), Position: 4, TimeBounds: sourceBounds}}, Next: 5, ConfirmedAt: now,
+			OutageEnd: outageEnd{at: outageEndAt, next: 4},
 		})
-		Expect([]time.Time{got.After, got.UnreadSince}).To(Equal([]time.Time{back, back}))
+		Expect([]time.Time{got.After, got.UnreadSince}).To(Equal([]time.Time{outageEndAt, outageEndAt}))
 
-		behind := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, quiet)
-		behind.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: asked, CaughtUpAt: asked})
-		behind.Merge(Batch{Records: []Record{r}, Next: 6, ConfirmedAt: now, OutageEnd: outageEnd{at: back, next: 5}})
-		Expect(got.After).To(Equal(asked), "its source had read that before the outage")
+		behindSource := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, silentLogger)
+		behindSource.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: lastCall, CaughtUpAt: lastCall})
+		behindSource.Merge(Batch{Records: []Record{r}, Next: 6, ConfirmedAt: now, OutageEnd: outageEnd{at: outageEndAt, next: 5}})
+		Expect(got.After).To(Equal(lastCall), "its source had read the record before the outage")
 
-		fresh := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, quiet)
-		since := now.Add(-freshMost + time.Millisecond)
-		fresh.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: since, CaughtUpAt: since})
-		fresh.Merge(Batch{Records: []Record{{Key: "version", Value: []byte("2"), Position: 4}}, Next: 5, ConfirmedAt: now, OutageEnd: outageEnd{at: back, next: 4}})
-		Expect(got.After).To(Equal(since), "its source alone had lost the store")
+		freshLog := NewLog(topic, facts.New(time.Now), func() time.Time { return now }, silentLogger)
+		confirmedAt := now.Add(-maxFreshAge + time.Millisecond)
+		freshLog.Merge(Batch{Snapshot: true, Next: 4, ConfirmedAt: confirmedAt, CaughtUpAt: confirmedAt})
+		freshLog.Merge(Batch{Records: []Record{{Key: "version", Value: []byte("2"), Position: 4}}, Next: 5, ConfirmedAt: now, OutageEnd: outageEnd{at: outageEndAt, next: 4}})
+		Expect(got.After).To(Equal(confirmedAt), "its source alone had lost the store")
 	})
 
-	It("that this process had read at its start, so that it knew none, is dated by it", func() {
+	It("are taken from a source if this process read the record in its first snapshot", func() {
 		now := time.Now()
 		var got []time.Time
 		l := NewLog(Topic{Name: "t", Apply: func(r Record) error {
 			got = append(got, r.After)
 			return nil
-		}}, facts.New(time.Now), func() time.Time { return now }, quiet)
+		}}, facts.New(time.Now), func() time.Time { return now }, silentLogger)
 		r := Record{Key: "version", Value: []byte("2"), Position: 3}
 		l.Merge(Batch{Snapshot: true, Records: []Record{r}, Next: 4, ConfirmedAt: now})
 		r.After = now.Add(-3 * time.Second)
@@ -120,39 +120,39 @@
 	})
 })
 
-var _ = Describe("a reading", func() {
-	It("that leaves records for the next, or lacks what others have read, says nothing of what comes after it", func() {
+var _ = Describe("a read of the store", func() {
+	It("that leaves records in the store, or lacks what others have read, sets no caught-up time", func() {
 		f := facts.New(time.Now)
-		l := NewLog(Topic{Name: "t", Apply: func(Record) error { return nil }}, f, time.Now, quiet)
+		l := NewLog(Topic{Name: "t", Apply: func(Record) error { return nil }}, f, time.Now, silentLogger)
 		l.Merge(Batch{Snapshot: true, Next: 1, ConfirmedAt: time.Now()})
 		end := id.Position(3)
 		r := &Reader{
 			store: &Store{Read: func(_ context.Context, _ string, from id.Position, _ time.Duration) (ReadResult, error) {
 				return ReadResult{Records: []Record{{Key: "k", Value: []byte("v"), Position: from}}, Next: from + 1, End: end}, nil
 			}},
-			log: l, facts: f, gate: &gate{}, now: time.Now, own: func() {}, wait: time.Second, prompt: true,
+			log: l, facts: f, gate: &gate{}, now: time.Now, onStoreRead: func() {}, wait: time.Second, noWait: true,
 		}
 		ctx := context.Background()
-		more, err := r.step(ctx)
+		more, err := r.readOnce(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(more).To(BeTrue())
-		Expect(l.settled).To(BeZero())
-		more, err = r.step(ctx)
+		Expect(l.caughtUpAt).To(BeZero())
+		more, err = r.readOnce(ctx)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(more).To(BeFalse())
-		settled := l.settled
-		Expect(settled).NotTo(BeZero())
+		caughtUpAt := l.caughtUpAt
+		Expect(caughtUpAt).NotTo(BeZero())
 		f.NoteConfigOffset(9)
 		end = 4
-		_, err = r.step(ctx)
+		_, err = r.readOnce(ctx)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(l.settled).To(Equal(settled), "others have read up to 9")
-		Expect(l.Age()).To(BeNumerically("<", time.Second), "the store has answered all the same")
+		Expect(l.caughtUpAt).To(Equal(caughtUpAt), "others have read up to 9")
+		Expect(l.Age()).To(BeNumerically("<", time.Second), "the answer still confirms the records")
 	})
 })
 
 var _ = Describe("a record that wakes a waiting reader", func() {
-	It("was written just then; one of several, or one that came with the end of the wait, may be older", func() {
+	It("was written just before; one of several, or one that came with the end of the wait, may be older", func() {
 		start := time.Now()
 		for _, c := range []struct {
 			records int
@@ -165,7 +165,7 @@
 			l := NewLog(Topic{Name: "t", Apply: func(r Record) error {
 				got = r
 				return nil
-			}}, f, func() time.Time { return now }, quiet)
+			}}, f, func() time.Time { return now }, silentLogger)
 			l.Merge(Batch{Snapshot: true, Next: 1, ConfirmedAt: now, CaughtUpAt: now})
 			r := &Reader{
 				store: &Store{Read: func(_ context.Context, _ string, from id.Position, _ time.Duration) (ReadResult, error) {
@@ -177,9 +177,9 @@
 					}
 					return a, nil
 				}},
-				log: l, facts: f, gate: &gate{}, now: func() time.Time { return now }, own: func() {}, wait: time.Second,
+				log: l, facts: f, gate: &gate{}, now: func() time.Time { return now }, onStoreRead: func() {}, wait: time.Second,
 			}
-			_, err := r.step(context.Background())
+			_, err := r.readOnce(context.Background())
 			Expect(err).NotTo(HaveOccurred())
 			Expect(got.After).To(Equal(start.Add(c.want)))
 			Expect(got.UnreadSince).To(Equal(got.After))
--- a/internal/records/dates_test.go
+++ b/internal/records/dates_test.go
@@ -16,70 +16,71 @@
 	"github.com/springrail/springrail/internal/platform"
 )
 
-// start is when the play begins.
+// start is when each simulation begins.
 var start = time.Unix(1000, 0)
 
-// span is a time.
+// span is a time interval.
 type span struct {
 	from, to time.Time
 }
 
-// String is for the account of a failure.
+// String formats the interval relative to start, for failure messages.
 func (s span) String() string {
 	return fmt.Sprint(s.from.Sub(start), " to ", s.to.Sub(start))
 }
 
-// report is what a stager tells of a naming, on its way.
+// report is a stager's report of a publication, in transfer.
 type report struct {
 	revision id.Revision
-	// age and had are as they were when it was made; made is a moment before that.
-	age, had time.Duration
-	made     time.Time
+	// age and knownAge are relative to when the report was made; madeAfter is a time before that, zero if unknown.
+	age, knownAge time.Duration
+	madeAfter     time.Time
 }
 
-// datedWorld is a store with processes that learn in every way there is since when versions are named, in virtual time.
-type datedWorld struct {
+// dateModel simulates a store and processes in virtual time. The processes learn when versions were published by every
+// means there is.
+type dateModel struct {
 	t   *rapid.T
 	now time.Time
-	// named are the moments of the versions 2, 3 and so on.
-	named   []time.Time
-	records []Record
-	// away is true while the store can't be reached by anybody.
-	away bool
-	// blind are the times between a process's last reading and each try in vain after it.
-	blind     []span
-	processes []*datedProcess
-	reports   []report
+	// publishedAt holds the publication times of version 2, 3 and so on.
+	publishedAt []time.Time
+	records     []Record
+	// outage is true while no process can reach the store.
+	outage bool
+	// blindSpans are the intervals between a process's last read and each failed request after it.
+	blindSpans []span
+	processes  []*dateProcess
+	reports    []report
 }
 
-// datedProcess is one of them.
-type datedProcess struct {
-	world  *datedWorld
+// dateProcess is a process of the model.
+type dateProcess struct {
+	model  *dateModel
 	facts  *facts.Facts
 	log    *Log
 	reader *Reader
-	// cut is true while this process alone can't reach the store.
-	cut       bool
+	// cutOff is true while only this process cannot reach the store.
+	cutOff    bool
 	steppedAt time.Time
-	// follows is how far it has followed each other process.
-	follows map[*Log]uint64
+	// lastChanges is the last change received from each other process.
+	lastChanges map[*Log]uint64
 }
 
-func (w *datedWorld) clock() time.Time { return w.now }
+func (w *dateModel) clock() time.Time { return w.now }
 
-// start makes a process that knows nothing.
-func (w *datedWorld) start() *datedProcess {
-	p := &datedProcess{world: w, facts: facts.New(w.clock), follows: map[*Log]uint64{}, steppedAt: w.now}
-	p.log = NewLog(Topic{Name: "t", Apply: p.apply}, p.facts, w.clock, quiet)
+// start returns a process that has read nothing.
+func (w *dateModel) start() *dateProcess {
+	p := &dateProcess{model: w, facts: facts.New(w.clock), lastChanges: map[*Log]uint64{}, steppedAt: w.now}
+	p.log = NewLog(Topic{Name: "t", Apply: p.apply}, p.facts, w.clock, silentLogger)
 	p.reader = &Reader{
-		store: &Store{Probe: p.answers, Snapshot: p.newest, Read: p.read}, log: p.log, facts: p.facts, gate: &gate{}, now: w.clock,
-		own: func() {}, look: p.log, wait: 700 * time.Millisecond,
-		claim: func(context.Context, *Log, bool) bool { return true },
+		store: &Store{Probe: p.probe, Snapshot: p.snapshot, Read: p.read}, log: p.log, facts: p.facts, gate: &gate{}, now: w.clock,
+		onStoreRead: func() {}, probeLog: p.log, wait: 700 * time.Millisecond,
+		requestLease: func(context.Context, *Log, bool) bool { return true },
 	}
 	return p
 }
 
-func (p *datedProcess) apply(r Record) error {
+func (p *dateProcess) apply(r Record) error {
 	if r.Key != "version" {
 		return nil
 	}
@@ -88,202 +89,202 @@
 	return err
 }
 
-// reached is a call to the store: it takes its time, and fails where the store can't be reached.
-func (p *datedProcess) reached() error {
-	if !p.world.away && !p.cut {
-		p.world.pass(150, "way")
+// call simulates the time and the result of a call to the store.
+func (p *dateProcess) call() error {
+	if !p.model.outage && !p.cutOff {
+		p.model.pass(150, "call time")
 		return nil
 	}
-	p.world.pass(2000, "in vain")
+	p.model.pass(2000, "failed call")
 	return platform.ErrUnavailable
 }
 
-func (p *datedProcess) answers(context.Context, string, id.Position) error {
-	return p.reached()
+func (p *dateProcess) probe(context.Context, string, id.Position) error {
+	return p.call()
 }
 
-func (p *datedProcess) newest(context.Context, string, Progress) ([]Record, id.Position, error) {
+func (p *dateProcess) snapshot(context.Context, string, Progress) ([]Record, id.Position, error) {
 	newest := map[string]Record{}
-	for _, r := range p.world.records {
+	for _, r := range p.model.records {
 		newest[r.Key] = r
 	}
-	next := id.Position(len(p.world.records))
+	next := id.Position(len(p.model.records))
 	var l []Record
 	for _, r := range newest {
 		l = append(l, r)
 	}
-	return l, next, p.reached()
+	return l, next, p.call()
 }
 
-// read waits for a record. One that is written meanwhile ends the wait, or the store passes the reader over.
-func (p *datedProcess) read(_ context.Context, _ string, from id.Position, wait time.Duration) (ReadResult, error) {
-	w := p.world
-	if p.cut || w.away {
-		return ReadResult{}, p.reached()
+// read waits for a record. A record written meanwhile ends the wait, unless the store fails to wake the reader.
+func (p *dateProcess) read(_ context.Context, _ string, from id.Position, wait time.Duration) (ReadResult, error) {
+	w := p.model
+	if p.cutOff || w.outage {
+		return ReadResult{}, p.call()
 	}
 	if from == id.Position(len(w.records)) && wait > 0 {
-		before := time.Duration(rapid.IntRange(0, int(wait.Milliseconds())).Draw(w.t, "written after")) * time.Millisecond
-		w.now = w.now.Add(before)
+		elapsed := time.Duration(rapid.IntRange(0, int(wait.Milliseconds())).Draw(w.t, "written after")) * time.Millisecond
+		w.now = w.now.Add(elapsed)
 		if rapid.Bool().Draw(w.t, "written") {
-			w.name()
+			w.publish()
 		}
-		if from == id.Position(len(w.records)) || rapid.IntRange(0, 3).Draw(w.t, "passed over") == 0 {
-			w.now = w.now.Add(wait - before)
-			return ReadResult{Next: from, End: from}, p.reached()
+		if from == id.Position(len(w.records)) || rapid.IntRange(0, 3).Draw(w.t, "not woken") == 0 {
+			w.now = w.now.Add(wait - elapsed)
+			return ReadResult{Next: from, End: from}, p.call()
 		}
 	}
 	l := append([]Record(nil), w.records[from:]...)
-	return ReadResult{Records: l, Next: id.Position(len(w.records)), End: id.Position(len(w.records))}, p.reached()
+	return ReadResult{Records: l, Next: id.Position(len(w.records)), End: id.Position(len(w.records))}, p.call()
 }
 
-// step lets the process ask the store once.
-func (p *datedProcess) step() {
-	began := p.world.now
-	p.reader.stood = p.reader.stood || began.Sub(p.steppedAt) > p.reader.wait+callMost
-	if _, err := p.reader.step(context.Background()); err != nil && !errors.Is(err, errRefused) {
-		p.reader.whole = true
-		p.reader.failed++
-		p.reader.tried = began
-		if !p.log.settled.IsZero() {
-			p.world.blind = append(p.world.blind, span{from: p.log.settled, to: began})
+// step makes the process read the store once.
+func (p *dateProcess) step() {
+	began := p.model.now
+	p.reader.stalled = p.reader.stalled || began.Sub(p.steppedAt) > p.reader.wait+maxCallTime
+	if _, err := p.reader.readOnce(context.Background()); err != nil && !errors.Is(err, errLeaseRefused) {
+		p.reader.needsSnapshot = true
+		p.reader.failures++
+		p.reader.lastTryAt = began
+		if !p.log.caughtUpAt.IsZero() {
+			p.model.blindSpans = append(p.model.blindSpans, span{from: p.log.caughtUpAt, to: began})
 		}
 		p.log.NoteStoreFailure(err)
 	} else {
-		p.reader.stood = false
+		p.reader.stalled = false
 	}
-	p.steppedAt = p.world.now
+	p.steppedAt = p.model.now
 }
 
-// follow lets the process take what another one holds.
-func (p *datedProcess) follow(o *datedProcess) {
+// follow makes the process merge what another one holds.
+func (p *dateProcess) follow(o *dateProcess) {
 	if _, started := o.log.Position(); !started || o == p {
 		return
 	}
 	next, _ := p.log.Position()
-	answered := p.world.now
-	p.world.pass(300, "way of a question")
-	c, _, _ := o.log.ChangesSince(Cursor{Epoch: o.log.epoch, Change: p.follows[o.log], Next: next})
-	told := tell("t", c)
-	p.world.pass(900, "way of an answer")
-	f := &Follower{now: p.world.clock}
-	taken, err := f.take(p.log, told, answered)
-	if errors.Is(err, errNoBase) || !taken {
-		p.follows[o.log] = askWhole
+	answeredAt := p.model.now
+	p.model.pass(300, "request in transfer")
+	c, _, _ := o.log.ChangesSince(Cursor{Epoch: o.log.epoch, Change: p.lastChanges[o.log], Next: next})
+	answer := topicChanges("t", c)
+	p.model.pass(900, "answer in transfer")
+	f := &Follower{now: p.model.clock}
+	merged, err := f.mergeChanges(p.log, answer, answeredAt)
+	if errors.Is(err, errNoPatchBase) || !merged {
+		p.lastChanges[o.log] = requestSnapshot
 		return
 	}
 	if err != nil {
-		p.world.t.Fatal(err)
+		p.model.t.Fatal(err)
 	}
-	p.follows[o.log] = c.LastChange
+	p.lastChanges[o.log] = c.LastChange
 }
 
-// tells puts a report of a process on its way.
-func (p *datedProcess) tells() {
-	w := p.world
+// sendReport puts a report of the process in transfer.
+func (p *dateProcess) sendReport() {
+	w := p.model
 	n := p.facts.Wanted("m")
 	if n.LearntAt.IsZero() {
 		return
 	}
-	r := report{revision: n.Revision, age: -1, had: w.now.Sub(n.PublishTime.KnownAt)}
+	r := report{revision: n.Revision, age: -1, knownAge: w.now.Sub(n.PublishTime.KnownAt)}
 	if !n.PublishTime.After.IsZero() {
 		r.age = w.now.Sub(n.PublishTime.After)
 	}
 	if rapid.Bool().Draw(w.t, "echoed") {
-		r.made = w.now.Add(-time.Duration(rapid.IntRange(0, 1500).Draw(w.t, "since the stamp")) * time.Millisecond)
+		r.madeAfter = w.now.Add(-time.Duration(rapid.IntRange(0, 1500).Draw(w.t, "since the stamp")) * time.Millisecond)
 	}
 	w.reports = append(w.reports, r)
 }
 
-// hears takes the oldest report that is on its way, however old it is.
-func (p *datedProcess) hears() {
-	w := p.world
+// receiveReport merges the oldest report in transfer, regardless of its age.
+func (p *dateProcess) receiveReport() {
+	w := p.model
 	if len(w.reports) == 0 {
 		return
 	}
 	r := w.reports[0]
 	w.reports = w.reports[1:]
-	d := dating.TimeBounds{KnownAt: w.now.Add(-r.had)}
-	if r.age >= 0 && !r.made.IsZero() {
-		d.After = r.made.Add(-r.age)
+	d := dating.TimeBounds{KnownAt: w.now.Add(-r.knownAge)}
+	if r.age >= 0 && !r.madeAfter.IsZero() {
+		d.After = r.madeAfter.Add(-r.age)
 	}
 	p.facts.MergePublishTime("m", r.revision, d)
 }
 
-// pass lets up to a number of milliseconds go by.
-func (w *datedWorld) pass(most int, label string) {
-	w.now = w.now.Add(time.Duration(rapid.IntRange(0, most).Draw(w.t, label)) * time.Millisecond)
+// pass advances the time by up to limit milliseconds.
+func (w *dateModel) pass(limit int, label string) {
+	w.now = w.now.Add(time.Duration(rapid.IntRange(0, limit).Draw(w.t, label)) * time.Millisecond)
 }
 
-// name writes the naming of one more version.
-func (w *datedWorld) name() {
-	w.named = append(w.named, w.now)
-	w.write("version", strconv.Itoa(len(w.named)+1))
+// publish writes the next version.
+func (w *dateModel) publish() {
+	w.publishedAt = append(w.publishedAt, w.now)
+	w.write("version", strconv.Itoa(len(w.publishedAt)+1))
 }
 
-func (w *datedWorld) write(key, value string) {
+func (w *dateModel) write(key, value string) {
 	w.records = append(w.records, Record{Key: key, Value: []byte(value), Position: id.Position(len(w.records))})
 }
 
-// allowed is the latest right date of a naming. What came after a process had read last, and before it asked in vain,
-// counts from that try: nothing tells whether the store was to be had in between.
-func (w *datedWorld) allowed(named time.Time) time.Time {
-	latest := named
-	for _, b := range w.blind {
-		if b.to.Sub(b.from) > awayFor && !named.Before(b.from) && named.Before(b.to) && b.to.After(latest) {
+// latestAllowed returns the latest correct date of a publication. A version published between a process's last read and
+// a later failed request is dated by that request: nothing shows whether the store was available in between.
+func (w *dateModel) latestAllowed(published time.Time) time.Time {
+	latest := published
+	for _, b := range w.blindSpans {
+		if b.to.Sub(b.from) > outageThreshold && !published.Before(b.from) && published.Before(b.to) && b.to.After(latest) {
 			latest = b.to
 		}
 	}
 	return latest
 }
 
-// check looks at the end of each version's time at each process.
-func (w *datedWorld) check() {
-	const within = time.Minute
+// check verifies the end of each version's time at each process.
+func (w *dateModel) check() {
+	const validity = time.Minute
 	for i, p := range w.processes {
 		newest := p.facts.Wanted("m").Revision
-		if had := p.facts.Wanted("m").PublishTime.KnownAt; newest > 1 && had.Before(w.named[newest-2]) {
-			w.t.Fatalf("process %d: version %d, named at %v, is taken to be known at %v", i, newest, w.named[newest-2].Sub(start), had.Sub(start))
+		if knownAt := p.facts.Wanted("m").PublishTime.KnownAt; newest > 1 && knownAt.Before(w.publishedAt[newest-2]) {
+			w.t.Fatalf("process %d: version %d, published at %v, has the upper bound %v", i, newest, w.publishedAt[newest-2].Sub(start), knownAt.Sub(start))
 		}
 		for v := id.Revision(1); v < newest; v++ {
-			until := p.facts.ServableUntil("m", v, within)
-			if named := w.named[v-1]; until.After(w.allowed(named).Add(within)) {
-				w.t.Fatalf("process %d: version %d, named at %v, is dated %v by %+v; blind: %v", i, v+1, named.Sub(start),
-					until.Add(-within).Sub(start), p.facts.Wanted("m").PublishTime.Source, w.blind)
+			until := p.facts.ServableUntil("m", v, validity)
+			if published := w.publishedAt[v-1]; until.After(w.latestAllowed(published).Add(validity)) {
+				w.t.Fatalf("process %d: version %d, published at %v, is dated %v by %+v; blind spans: %v", i, v+1, published.Sub(start),
+					until.Add(-validity).Sub(start), p.facts.Wanted("m").PublishTime.Source, w.blindSpans)
 			}
 		}
 	}
 }
 
-var _ = Describe("the date of a naming", func() {
-	It("is never later than the naming, beside the time in which nobody could read it, in whatever way a process learns it", func() {
+var _ = Describe("the lower time bound of a publication", func() {
+	It("is never after the publication, except for an outage of the store, however a process learns of it", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			w := &datedWorld{t: t, now: start}
+			w := &dateModel{t: t, now: start}
 			w.write("config", "1")
 			for range 3 {
 				w.processes = append(w.processes, w.start())
 			}
-			draw := func() *datedProcess { return rapid.SampledFrom(w.processes).Draw(t, "process") }
+			draw := func() *dateProcess { return rapid.SampledFrom(w.processes).Draw(t, "process") }
 			for range rapid.IntRange(1, 60).Draw(t, "steps") {
-				switch act := rapid.IntRange(0, 13).Draw(t, "act"); act {
+				switch action := rapid.IntRange(0, 13).Draw(t, "act"); action {
 				case 0:
-					if !w.away {
-						w.name()
+					if !w.outage {
+						w.publish()
 					}
 				case 1:
 					w.write("config", fmt.Sprint(len(w.records)))
 				case 2:
-					w.away = !w.away
+					w.outage = !w.outage
 				case 3:
 					p := draw()
-					p.cut = !p.cut
+					p.cutOff = !p.cutOff
 				case 4:
 					w.processes[rapid.IntRange(0, 2).Draw(t, "restarted")] = w.start()
 				case 5, 6:
 					draw().follow(draw())
 				case 7:
-					draw().tells()
+					draw().sendReport()
 				case 8:
-					draw().hears()
+					draw().receiveReport()
 				case 9:
 					w.pass(1500, "pause")
 				default:
--- a/internal/records/entry.go
+++ b/internal/records/entry.go
@@ -8,60 +8,62 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// entry is a key's newest record.
+// entry is the newest record of a key.
 type entry struct {
-	// Record's offset is that of the newest record read, which may have changed nothing.
+	// Record has the position of the newest record read, even if that did not change the value.
 	Record
 	// change is the number of the change that brought the record.
 	change uint64
-	// before is the record that this one has replaced, and beforeChange the number of the change that brought it.
-	before       Record
-	beforeChange uint64
-	// version is the number that the last value named which the product could read; 0 where it named none.
+	// previous is the record that this one replaced, and previousChange the number of the change that brought it.
+	previous       Record
+	previousChange uint64
+	// version is the version number in the last value that could be decoded; 0 if it has none.
 	version uint64
-	// skipped is true of a record that the product could not read.
-	skipped bool
-	// digest is its part in the log's.
+	// unreadable is true if the record could not be decoded.
+	unreadable bool
+	// digest is the record's contribution to the log's digest.
 	digest uint64
-	// packed is the value compressed, and patch the same on top of the value before, once a follower has asked for it.
-	packed, patch []byte
+	// compressed is the compressed value, and patch the value compressed against the previous one. Both are filled when
+	// a follower first needs them.
+	compressed, patch []byte
 }
 
-// told is a record as followers get it: with its value, that value compressed, or a patch of the value at an offset.
-type told struct {
+// outgoingRecord is a record as it is sent to followers: with its value, the compressed value, or a patch of the value
+// at an offset.
+type outgoingRecord struct {
 	Record
-	packed  []byte
-	patched bool
-	base    id.Position
-	// absent is how long ago the store is known not to have had the record, and had how long ago somebody is known to
-	// have had it; below 0 where that is not known.
-	absent, had time.Duration
+	compressed []byte
+	isPatch    bool
+	patchBase  id.Position
+	// absentAge is the time since the store was known not to hold the record, and knownAge the time since some process
+	// is known to have held it; negative if unknown.
+	absentAge, knownAge time.Duration
 }
 
-// tell says what a follower needs that may have the record before, or not; long values are compressed once for all
-// followers.
-func (e *entry) tell(hasBefore bool, now time.Time, l *log.Logger) told {
-	t := told{Record: e.Record, absent: sinceKnown(now, e.After), had: sinceKnown(now, e.KnownAt)}
+// outgoing returns the record for a follower, as a patch if the follower has the previous one. Large values are
+// compressed once for all followers.
+func (e *entry) outgoing(hasPrevious bool, now time.Time, l *log.Logger) outgoingRecord {
+	t := outgoingRecord{Record: e.Record, absentAge: ageOrUnknown(now, e.After), knownAge: ageOrUnknown(now, e.KnownAt)}
 	switch {
-	case len(e.Value) < packFrom:
-	case hasBefore && e.before.Value != nil:
-		e.patch = packOnce(e.patch, e.Value, e.before.Value, l)
-		t.packed, t.patched, t.base = e.patch, true, e.before.Position
+	case len(e.Value) < compressThreshold:
+	case hasPrevious && e.previous.Value != nil:
+		e.patch = compressOnce(e.patch, e.Value, e.previous.Value, l)
+		t.compressed, t.isPatch, t.patchBase = e.patch, true, e.previous.Position
 	default:
-		e.packed = packOnce(e.packed, e.Value, nil, l)
-		t.packed = e.packed
+		e.compressed = compressOnce(e.compressed, e.Value, nil, l)
+		t.compressed = e.compressed
 	}
 	return t
 }
 
-// packOnce returns what has been compressed before, or compresses it.
-func packOnce(done, value, base []byte, l *log.Logger) []byte {
-	if done != nil {
-		return done
+// compressOnce returns the cached result, or compresses the value if there is none.
+func compressOnce(cached, value, base []byte, l *log.Logger) []byte {
+	if cached != nil {
+		return cached
 	}
-	packed, err := pack(value, base)
+	packed, err := compress(value, base)
 	if err != nil {
-		l.Error().Err(err).Msg("a record can't be compressed")
+		l.Error().Err(err).Msg("compressing a record failed")
 		return nil
 	}
 	return packed
--- a/internal/records/era_test.go
+++ b/internal/records/era_test.go
@@ -14,15 +14,15 @@
 	"github.com/springrail/springrail/internal/platform"
 )
 
-// inEra is a position that a spec names.
-func inEra(era, offset uint64) id.Position {
+// positionInEra returns the position of an offset in an era.
+func positionInEra(era, offset uint64) id.Position {
 	p, err := id.PositionAt(era, offset)
 	Expect(err).NotTo(HaveOccurred())
 	return p
 }
 
-// versions is a topic of values that are numbers, which only rise.
-func versions(got *string) Topic {
+// versionTopic is a topic whose values are version numbers, which only rise.
+func versionTopic(got *string) Topic {
 	return Topic{
 		Name:  "op",
 		Apply: func(r Record) error { *got = string(r.Value); return nil },
@@ -33,40 +33,40 @@
 	}
 }
 
-var _ = Describe("a value whose number only rises", func() {
+var _ = Describe("a value whose version only rises", func() {
 	var got string
 	var l *Log
 	BeforeEach(func() {
-		l = NewLog(versions(&got), facts.New(time.Now), time.Now, quiet)
+		l = NewLog(versionTopic(&got), facts.New(time.Now), time.Now, silentLogger)
 		l.Merge(Batch{Snapshot: true, Records: []Record{{Key: "config", Value: []byte("5"), Position: 6}}, Next: 7, ConfirmedAt: time.Now()})
 	})
 
-	DescribeTable("does not go back where the store comes back from an older copy, and rises from there", func(older ...Record) {
-		l.Merge(Batch{Snapshot: true, Records: older, Next: inEra(1, 3), ConfirmedAt: time.Now()})
+	DescribeTable("does not fall when the store is restored from an older copy, and rises again later", func(older ...Record) {
+		l.Merge(Batch{Snapshot: true, Records: older, Next: positionInEra(1, 3), ConfirmedAt: time.Now()})
 		Expect(got).To(Equal("5"))
 		next, _ := l.Position()
-		Expect(next).To(Equal(inEra(1, 3)))
-		l.Merge(Batch{Records: []Record{{Key: "config", Value: []byte("5"), Position: inEra(1, 3)}}, Next: inEra(1, 4), ConfirmedAt: time.Now()})
+		Expect(next).To(Equal(positionInEra(1, 3)))
+		l.Merge(Batch{Records: []Record{{Key: "config", Value: []byte("5"), Position: positionInEra(1, 3)}}, Next: positionInEra(1, 4), ConfirmedAt: time.Now()})
 		Expect(got).To(Equal("5"))
-		l.Merge(Batch{Records: []Record{{Key: "config", Value: []byte("8"), Position: inEra(1, 4)}}, Next: inEra(1, 5), ConfirmedAt: time.Now()})
+		l.Merge(Batch{Records: []Record{{Key: "config", Value: []byte("8"), Position: positionInEra(1, 4)}}, Next: positionInEra(1, 5), ConfirmedAt: time.Now()})
 		Expect(got).To(Equal("8"))
 	},
 		Entry("with an older value", Record{Key: "config", Value: []byte("2"), Position: 1<<40 + 1}),
 		Entry("that lacks the key"))
 
-	It("takes a newer value at the very offset of the one held", func() {
-		l.Merge(Batch{Snapshot: true, Records: []Record{{Key: "config", Value: []byte("8"), Position: inEra(1, 6)}}, Next: inEra(1, 9), ConfirmedAt: time.Now()})
+	It("is replaced by a newer value at the same offset", func() {
+		l.Merge(Batch{Snapshot: true, Records: []Record{{Key: "config", Value: []byte("8"), Position: positionInEra(1, 6)}}, Next: positionInEra(1, 9), ConfirmedAt: time.Now()})
 		Expect(got).To(Equal("8"))
 	})
 })
 
-var _ = Describe("an upstream after the store's return from an older copy", func() {
+var _ = Describe("an upstream after the store was restored from an older copy", func() {
 	var now time.Time
 	var f *facts.Facts
 	var l *Log
 	clock := func() time.Time { return now }
-	take := func(whole bool, next id.Position, records ...Record) {
-		l.Merge(Batch{Snapshot: whole, Records: records, Next: next, ConfirmedAt: now, FromStore: true, Uninterrupted: true})
+	merge := func(snapshot bool, next id.Position, records ...Record) {
+		l.Merge(Batch{Snapshot: snapshot, Records: records, Next: next, ConfirmedAt: now, FromStore: true, Uninterrupted: true})
 	}
 	entry := func(value string, at id.Position) Record { return Record{Key: "u", Value: []byte(value), Position: at} }
 	BeforeEach(func() {
@@ -77,69 +77,69 @@
 				f.SetInstance(&facts.Instance{ID: "u", Address: "a", ListPosition: r.Position, Leaving: string(r.Value) == "leaving"})
 			}
 			return nil
-		}}, f, clock, quiet)
-		take(true, 9, entry("ready", 3))
+		}}, f, clock, silentLogger)
+		merge(true, 9, entry("ready", 3))
 	})
 
-	It("leaves still where the copy has it as ready", func() {
-		take(false, 10, entry("leaving", 9))
-		take(true, inEra(1, 4), entry("ready", inEra(1, 3)))
+	It("is still leaving if the copy has it as ready", func() {
+		merge(false, 10, entry("leaving", 9))
+		merge(true, positionInEra(1, 4), entry("ready", positionInEra(1, 3)))
 		Expect(f.Instances()[0].Leaving).To(BeTrue())
 	})
 
-	It("leaves by a record at the offset of the one held", func() {
-		take(true, inEra(1, 4), entry("leaving", inEra(1, 3)))
+	It("is leaving by a record at the offset of the one held", func() {
+		merge(true, positionInEra(1, 4), entry("leaving", positionInEra(1, 3)))
 		Expect(f.Instances()[0].Leaving).To(BeTrue())
 	})
 
-	It("has the grace of a return to be written again where the copy lacks it", func() {
-		take(true, inEra(1, 2))
+	It("has the grace period of an outage to be written again if the copy lacks it", func() {
+		merge(true, positionInEra(1, 2))
 		now = now.Add(1900 * time.Millisecond)
-		take(false, inEra(1, 2))
+		merge(false, positionInEra(1, 2))
 		Expect(f.Instances()).To(HaveLen(1))
-		take(false, inEra(1, 3), entry("ready", inEra(1, 2)))
+		merge(false, positionInEra(1, 3), entry("ready", positionInEra(1, 2)))
 		now = now.Add(time.Minute)
-		take(false, inEra(1, 3))
+		merge(false, positionInEra(1, 3))
 		Expect(f.Instances()).To(HaveLen(1))
 	})
 
-	It("is gone after that grace", func() {
-		take(true, inEra(1, 2))
+	It("is removed after that grace period", func() {
+		merge(true, positionInEra(1, 2))
 		now = now.Add(2100 * time.Millisecond)
-		take(false, inEra(1, 2))
+		merge(false, positionInEra(1, 2))
 		Expect(f.Instances()).To(BeEmpty())
 	})
 
-	It("has the grace also at a follower that had fresh records all the time", func() {
+	It("has the grace period also at a follower with fresh records throughout", func() {
 		source := newReplica(f, clock)
 		source.Merge(Batch{Snapshot: true, Records: []Record{entry("ready", 3)}, Next: 9, ConfirmedAt: now})
 		follower := &replica{Log: l}
 		follower.follow(source, now, true)
-		source.Merge(Batch{Snapshot: true, Next: inEra(1, 2), ConfirmedAt: now})
+		source.Merge(Batch{Snapshot: true, Next: positionInEra(1, 2), ConfirmedAt: now})
 		follower.follow(source, now, true)
 		Expect(f.Instances()).To(HaveLen(1))
 		next, _ := l.Position()
-		Expect(next).To(Equal(inEra(1, 2)))
+		Expect(next).To(Equal(positionInEra(1, 2)))
 	})
 })
 
 var _ = Describe("a reader of a store whose answers contradict each other", func() {
-	// run has a reader read for a time, and returns the number of whole readings and how far it has read.
+	// run starts a reader, and returns its offset after a time.
 	run := func(s *Store, d time.Duration) id.Position {
-		p, _ := startProcess("a", 0, *s, nobody, func(context.Context, *process) {})
+		p, _ := startProcess("a", 0, *s, noPeers, func(context.Context, *process) {})
 		time.Sleep(d)
 		next, _ := p.service.logs[0].Position()
 		return next
 	}
-	answers := func(context.Context, string, id.Position) error { return nil }
+	probe := func(context.Context, string, id.Position) error { return nil }
 
-	It("reads all again ever more rarely where no position that it is given can be read on from", func() {
-		var whole atomic.Int32
+	It("backs off between snapshots if the store never serves records from the offset that it returned", func() {
+		var snapshot atomic.Int32
 		run(&Store{
-			Probe: answers,
+			Probe: probe,
 			Snapshot: func(_ context.Context, topic string, _ Progress) ([]Record, id.Position, error) {
 				if topic == "op" {
-					whole.Add(1)
+					snapshot.Add(1)
 				}
 				return nil, 5, nil
 			},
@@ -147,10 +147,10 @@
 				return ReadResult{}, platform.ErrOffsetExpired
 			},
 		}, 3*time.Second)
-		Expect(whole.Load()).To(BeNumerically("<=", 5))
+		Expect(snapshot.Load()).To(BeNumerically("<=", 5))
 	})
 
-	It("takes nothing of an earlier era, and asks no faster than a store that is away", func() {
+	It("ignores answers of an earlier era, and polls no faster than during an outage", func() {
 		var calls, era atomic.Int64
 		era.Store(3)
 		at := func() id.Position { return id.Position(era.Load()<<40 + 5) }
@@ -159,7 +159,7 @@
 			era.Store(2)
 		}()
 		next := run(&Store{
-			Probe: answers,
+			Probe: probe,
 			Snapshot: func(context.Context, string, Progress) ([]Record, id.Position, error) {
 				calls.Add(1)
 				return nil, at(), nil
@@ -173,7 +173,7 @@
 				return ReadResult{Next: at(), End: at()}, nil
 			},
 		}, 2500*time.Millisecond)
-		Expect(next).To(Equal(inEra(3, 5)))
+		Expect(next).To(Equal(positionInEra(3, 5)))
 		Expect(calls.Load()).To(BeNumerically("<=", 70))
 	})
 })
--- a/internal/records/follow.go
+++ b/internal/records/follow.go
@@ -14,265 +14,286 @@
 )
 
 const (
-	// followWait is how long a question to a source waits there for a change. It bounds how long a source that freezes
-	// goes unnoticed, with followSlack for the way and for a source that is short of processor time.
-	followWait  = 500 * time.Millisecond
-	followSlack = 400 * time.Millisecond
-	// successorWait is followWait of the process that goes first once its source fails: the others of the domain wait for it.
-	successorWait = 200 * time.Millisecond
-	// newSlack is what the first question to a source gets beside followSlack: its answer may bring some seconds of news. It
-	// does not wait there, as a second source that is frozen too would add its whole time.
-	newSlack = 200 * time.Millisecond
-	// freshMost is the greatest age of a source's records: readers ask the store each 0.7 s, and what the store took has to
-	// be known everywhere two seconds later.
-	freshMost = 1100 * time.Millisecond
-	// slowMost is the same for the operators' records, beside a list that is fresh and shows that the source has its way to the
-	// store: a record of 600 KB may be on that way. With freshMost followers left a healthy reader whenever such a record came
-	// over a link of 24 Mbit/s that three failure domains share, and choked that link by reading it themselves.
-	slowMost = 3 * time.Second
-	// blameFor is how long a source that failed is left alone; it is how long a disruption at least lasts.
-	blameFor = 3 * time.Second
-	// staleFor is the same for a source that has lost the store itself, or follows this process while that has no fresh
-	// records: it may have it back, or take the reading over, at any moment. Left alone for 3 s, they let a gateway
-	// that was cut off from the store lag by 4 s.
-	staleFor = 300 * time.Millisecond
-	// lackFor is how long a source that has asked the store itself in vain is taken to lack it.
-	lackFor = time.Second
-	// awayPause is the wait between two questions to others while the store is away for all.
-	awayPause = 400 * time.Millisecond
-	// lookPause is the wait before sources are looked for again.
-	lookPause = 100 * time.Millisecond
-	// differPause is the least time between two questions for a whole topic because the source holds other records. Where one
-	// does not settle it the source lacks a word, which its own readings have to bring.
-	differPause = 2 * time.Second
-	// takeoverStep is how much longer each further process of a domain lets those before it take over the reading of the
-	// store: all at once, they choked a link of 24 Mbit/s between regions with configurations of 600 KB.
+	// longPollWait is how long a request waits at a source for a change. With longPollSlack, for the network and for a
+	// source that is short of processor time, it bounds how long a frozen source goes unnoticed.
+	longPollWait  = 500 * time.Millisecond
+	longPollSlack = 400 * time.Millisecond
+	// successorPollWait replaces longPollWait in the process that takes over first when its source fails, as the other
+	// processes of the domain wait for it.
+	successorPollWait = 200 * time.Millisecond
+	// firstPollSlack is added to longPollSlack in the first request to a source, whose answer may carry the changes of
+	// several seconds. That request does not wait for changes: if the second source is frozen too, a wait would add to
+	// the delay.
+	firstPollSlack = 200 * time.Millisecond
+	// maxFreshAge is the maximum age of a source's records of upstreams. Readers poll the store every 0.7 s, and any
+	// record in the store must be known to all processes two seconds later.
+	maxFreshAge = 1100 * time.Millisecond
+	// maxOperatorsAge is the maximum age of a source's operator records, provided that its list of upstreams is fresh,
+	// which proves that it reaches the store: a record of 600 KB may be in transfer. With maxFreshAge, followers left a
+	// healthy reader whenever such a record crossed a 24 Mbit/s link shared by three failure domains, and saturated the
+	// link by reading it themselves.
+	maxOperatorsAge = 3 * time.Second
+	// avoidFailedFor is how long a failed source is avoided, which is the shortest duration of a disruption.
+	avoidFailedFor = 3 * time.Second
+	// avoidStaleFor is how long a source is avoided that has lost the store, or that follows this process although this
+	// one has no fresh records. Either may reach the store again, or take over reading, at any moment: avoided for 3 s,
+	// such sources let a gateway that was cut off from the store lag by 4 s.
+	avoidStaleFor = 300 * time.Millisecond
+	// withoutStoreFor is how long a source whose own requests to the store have failed counts as cut off from it.
+	withoutStoreFor = time.Second
+	// outagePollPause is the wait between two requests to other processes while no process reaches the store.
+	outagePollPause = 400 * time.Millisecond
+	// chooseRetryPause is the wait before a source is chosen again if there was none.
+	chooseRetryPause = 100 * time.Millisecond
+	// snapshotRetryPause is the minimum time between two snapshot requests for a topic because of different digests. If
+	// a snapshot does not settle the difference, the source itself lacks a record, which only its next reads of the
+	// store can bring.
+	snapshotRetryPause = 2 * time.Second
+	// takeoverStep is the additional delay before each further process of a domain takes over reading the store.
+	// Without it, all read at once and saturated a 24 Mbit/s link between regions with configurations of 600 KB.
 	takeoverStep = 250 * time.Millisecond
-	// takeoverMost bounds the steps, and how many times longer the last ones wait between two tries at the store.
-	takeoverMost = 12
+	// maxTakeoverRank bounds the number of takeover steps, and the factor by which the last processes wait longer
+	// between two requests to the store.
+	maxTakeoverRank = 12
 )
 
 var (
 	// errStale says that a source has itself lost the store.
 	errStale = errors.New("the source's records are too old")
-	// errOwn says that a source has its records from this process.
-	errOwn = errors.New("the source follows this process")
+	// errFollowsSelf says that a source has its records from this process.
+	errFollowsSelf = errors.New("the source follows this process")
 )
 
-// Follower keeps the logs up to date from other processes and opens the gate to the store where none will do.
+// Follower keeps the logs up to date from other processes, and lets the readers use the store if no source is usable.
 type Follower struct {
 	logs []*Log
-	// gate lets this process read the list of upstreams from the store, and long the operators' records, which may have
-	// hundreds of KB.
-	gate, long *gate
-	origin     *origin
-	self       string
-	domain     id.Domain
-	// gateways lists those of the own failure domain, this process included once others know it.
+	// upstreamsGate lets this process read the list of upstreams from the store, and operatorsGate the operators'
+	// records, which can have hundreds of KB.
+	upstreamsGate, operatorsGate *gate
+	origin                       *origin
+	self                         string
+	domain                       id.Domain
+	// gateways returns the known gateways of this failure domain, including this process once others have announced it.
 	gateways func() []string
-	// peers lists stagers of the own failure domain that the list of upstreams shows.
+	// peers returns the stagers of this failure domain that the list of upstreams shows.
 	peers func() []string
-	// seeds are processes that the settings name.
+	// seeds are the configured addresses of other processes.
 	seeds []string
-	ask   func(ctx context.Context, address string, q *pb.FollowRequest) (*pb.FollowResponse, error)
-	now   func() time.Time
-	log   *log.Logger
-	vars  *expvar.Map
-	hint  *hint
-	// stale counts the answers in a row of sources that have lost the store.
-	stale int
+	// ask sends a request to another process.
+	ask     func(ctx context.Context, address string, q *pb.FollowRequest) (*pb.FollowResponse, error)
+	now     func() time.Time
+	log     *log.Logger
+	metrics *expvar.Map
+	hint    *sourceHint
+	// staleAnswers counts consecutive answers of sources that have lost the store.
+	staleAnswers int
 
-	// lostAt is when the last source failed; zero while one is followed.
-	lostAt time.Time
-	// startUntil is the end of the time in which a gateway may make itself known before this process asks the store.
+	// sourceLostAt is when the last source failed; zero while a source is followed.
+	sourceLostAt time.Time
+	// startUntil is the end of the start wait: until then this process does not ask the store, as a gateway may
+	// announce itself.
 	startUntil time.Time
-	blamed     map[string]time.Time
-	// lacking holds sources that have asked the store itself in vain, and until when they are taken to lack it.
-	lacking map[string]time.Time
-	// behind are processes that follow this one: until then they are no sources while this one has fresh records.
-	behind map[string]time.Time
+	// avoidUntil holds sources that have failed, and until when they are not used.
+	avoidUntil map[string]time.Time
+	// withoutStoreUntil holds the time until which a source counts as cut off from the store, as its own requests to
+	// the store have failed.
+	withoutStoreUntil map[string]time.Time
+	// followsThisUntil holds processes that follow this one. Until the time given they are not used as sources while
+	// this process has fresh records.
+	followsThisUntil map[string]time.Time
+	// source is the address of the process that is followed; empty if there is none.
 	source string
-	// lookedWithList is true once the list had been read when a source was last looked for: it names peers that have the rest.
-	lookedWithList bool
+	// choseWithList is true if the list of upstreams, which shows the peers, had been read when a source was last
+	// chosen.
+	choseWithList bool
 	// viaPeer is true while the source is a peer.
 	viaPeer bool
-	epoch   uint64
-	from    []uint64
-	// wholeAgain is when each topic may be asked for as a whole again because the source holds other records.
-	wholeAgain map[string]time.Time
+	// epoch is the source's epoch, and lastChanges holds the number of the last change received from it in each topic.
+	epoch       uint64
+	lastChanges []uint64
+	// nextSnapshotAt is when a topic's snapshot may next be requested because of a different digest.
+	nextSnapshotAt map[string]time.Time
 }
 
-// Run follows until the context ends.
+// Run polls sources until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		address, preferred := f.choose()
-		if address == "" || (!preferred && f.age() >= freshMost) {
+		address, preferred := f.chooseSource()
+		if address == "" || (!preferred && f.oldestAge() >= maxFreshAge) {
 			f.takeOver()
 		}
 		if address == "" {
-			f.hint.wait(ctx, lookPause)
+			f.hint.wait(ctx, chooseRetryPause)
 			continue
 		}
-		err := f.follow(ctx, address)
+		err := f.followOnce(ctx, address)
 		switch {
 		case ctx.Err() != nil:
 			return
 		case err != nil:
-			f.blame(address, err)
-			f.rest(ctx, err)
+			f.avoid(address, err)
+			f.backOff(ctx, err)
 		default:
-			f.found(address)
+			f.noteFreshSource(address)
 		}
 	}
 }
 
-// found notes that a source has fresh records. Whoever reads goes on, wherever it stands in the order: taking the
-// reading back, four processes of a domain read the same new configuration at once after an outage.
+// noteFreshSource notes that a source has fresh records, and closes the gates to the store. Whichever process reads the
+// store goes on, regardless of its rank: when the first in the order took the reading back, four processes of a domain
+// read the same new configuration at once after an outage.
 //
-// One that only reads may be turned away in the next moment: where a store turned five of twelve away, the others began
-// to wait anew with each that tried, and did not have a change after 2 s.
-func (f *Follower) found(address string) {
-	if f.age() >= freshMost {
+// A source that is still reading does not count, as the store may refuse it next: where a store refused five of twelve
+// processes, each attempt made the others start their waits anew, and they lacked a change after 2 s.
+func (f *Follower) noteFreshSource(address string) {
+	if f.oldestAge() >= maxFreshAge {
 		return
 	}
-	if f.stale > 0 {
-		f.log.Info().Str("source", address).Int("asked_in_vain", f.stale).Msg("a source has the store again")
+	if f.staleAnswers > 0 {
+		f.log.Info().Str("source", address).Int("asked_in_vain", f.staleAnswers).Msg("a source reaches the store again")
 	}
-	f.stale = 0
-	f.lostAt = time.Time{}
-	f.openGate(false)
+	f.staleAnswers = 0
+	f.sourceLostAt = time.Time{}
+	f.setGates(false)
 }
 
-// awayFor is the age of a process's own records from which on the store is taken to be away for all of its failure domain: had
-// only its reader lost it, the next one would have taken over. Sooner, sources are asked as fast as they answer.
-const awayFor = slowMost
+// outageThreshold is the age of a process's own records from which on the store counts as unavailable to the whole
+// failure domain: if only the reader had lost it, the next process would have taken over. Below it, sources are polled
+// as fast as they answer.
+const outageThreshold = maxOperatorsAge
 
-// rest waits after an answer of a source that has lost the store, once nobody has it: all twelve gateways of a domain
-// asked each other 36 times a second each. Who gets it again says so.
-func (f *Follower) rest(ctx context.Context, err error) {
-	if !errors.Is(err, errStale) && !errors.Is(err, errOwn) {
+// backOff waits after an answer of a source that has lost the store, if no process reaches it: without the pause, the
+// twelve gateways of a domain asked each other 36 times a second each. A process that reaches the store again announces
+// it, which ends the wait.
+func (f *Follower) backOff(ctx context.Context, err error) {
+	if !errors.Is(err, errStale) && !errors.Is(err, errFollowsSelf) {
 		return
 	}
-	f.stale++
-	if f.away() {
-		f.hint.wait(ctx, awayPause)
+	f.staleAnswers++
+	if f.storeUnavailable() {
+		f.hint.wait(ctx, outagePollPause)
 	}
 }
 
-// away says whether the store is taken to be away for all. A process that has just started knows nothing of that.
-func (f *Follower) away() bool {
-	return f.started() && f.age() > awayFor
+// storeUnavailable reports whether the store counts as unavailable to the whole failure domain. A process that has just
+// started cannot tell.
+func (f *Follower) storeUnavailable() bool {
+	return f.allRead() && f.oldestAge() > outageThreshold
 }
 
-// age is that of the oldest log.
-func (f *Follower) age() time.Duration {
-	most := time.Duration(0)
+// oldestAge returns the age of the log with the oldest records.
+func (f *Follower) oldestAge() time.Duration {
+	oldest := time.Duration(0)
 	for _, l := range f.logs {
-		most = max(most, l.Age())
+		oldest = max(oldest, l.Age())
 	}
-	return most
+	return oldest
 }
 
-func (f *Follower) blame(address string, err error) {
+// avoid excludes a failed source for a time that depends on the error, and lets this process take over reading if it is
+// its turn.
+func (f *Follower) avoid(address string, err error) {
 	now := f.now()
-	for a, until := range f.blamed {
+	for a, until := range f.avoidUntil {
 		if now.After(until) {
-			delete(f.blamed, a)
+			delete(f.avoidUntil, a)
 		}
 	}
-	until := blameFor
-	lost := errors.Is(err, errStale) || errors.Is(err, errOwn)
+	until := avoidFailedFor
+	stale := errors.Is(err, errStale) || errors.Is(err, errFollowsSelf)
 	switch {
-	case lost && f.away() && !f.hint.names(address):
-		// Each other source is asked before this one is again.
-		until = min(blameFor, awayPause*time.Duration(max(1, len(f.gateways())-1)))
-	case lost:
-		until = staleFor
+	case stale && f.storeUnavailable() && !f.hint.matches(address):
+		// Every other source is tried before this one is tried again.
+		until = min(avoidFailedFor, outagePollPause*time.Duration(max(1, len(f.gateways())-1)))
+	case stale:
+		until = avoidStaleFor
 	}
-	f.blamed[address] = now.Add(until)
-	f.vars.Add("failed", 1)
-	if errors.Is(err, errOwn) && f.age() < freshMost {
-		// All is well: this process reads for one that goes before it.
-		f.behind[address] = now.Add(blameFor)
+	f.avoidUntil[address] = now.Add(until)
+	f.metrics.Add("failed", 1)
+	if errors.Is(err, errFollowsSelf) && f.oldestAge() < maxFreshAge {
+		// This is normal: this process reads the store in place of one of higher rank.
+		f.followsThisUntil[address] = now.Add(avoidFailedFor)
 		return
 	}
-	if !lost || f.stale == 0 {
-		f.logBlame(address, err)
+	if !stale || f.staleAnswers == 0 {
+		f.logSourceFailure(address, err)
 	}
 	f.takeOver()
 }
 
-// logBlame says why a source was left. A process that has just started asks several until one has the records, which is
-// no reason to warn.
-func (f *Follower) logBlame(address string, err error) {
+// logSourceFailure logs why a source is no longer followed. A process that has just started tries several sources until
+// one has records, which is logged at info level.
+func (f *Follower) logSourceFailure(address string, err error) {
 	e := f.log.Warn()
-	if !f.started() {
+	if !f.allRead() {
 		e = f.log.Info()
 	}
 	f.logAge(e.Err(err).Str("source", address)).Msg("another source of records is needed")
 }
 
-// logAge adds the age of the records to a line, if any have been read.
+// logAge adds the age of the records to a log entry, if all topics have been read.
 func (f *Follower) logAge(e *log.Entry) *log.Entry {
-	if !f.started() {
+	if !f.allRead() {
 		return e
 	}
-	return e.Int64("age_ms", f.age().Milliseconds())
+	return e.Int64("age_ms", f.oldestAge().Milliseconds())
 }
 
-// takeOver lets this process read the store once those before it have had time to.
+// takeOver lets this process read the store once the processes before it have had their time to take over.
 func (f *Follower) takeOver() {
 	if f.now().Before(f.startUntil) {
 		return
 	}
-	if f.lostAt.IsZero() {
-		f.lostAt = f.now()
+	if f.sourceLostAt.IsZero() {
+		f.sourceLostAt = f.now()
 	}
-	if f.now().Sub(f.lostAt) >= time.Duration(f.waitsFor())*takeoverStep {
-		f.openGate(true)
+	if f.now().Sub(f.sourceLostAt) >= time.Duration(f.takeoversAhead())*takeoverStep {
+		f.setGates(true)
 	}
 }
 
-// rank is this process's place among those of its domain that may take over; the first source itself has none to wait
-// for, and the one behind it goes first once that has failed.
-func (f *Follower) rank() int {
-	first, _ := Sources(f.domain, f.gateways(), f.self)
-	return min(max(0, len(first)-1), takeoverMost)
+// takeoverRank returns this process's rank among those of its domain that may take over. The first source has rank 0,
+// and so has the process after it, which is next once the first one has failed.
+func (f *Follower) takeoverRank() int {
+	preferred, _ := Sources(f.domain, f.gateways(), f.self)
+	return min(max(0, len(preferred)-1), maxTakeoverRank)
 }
 
-// waitsFor is the number of processes that are given time to take over before this one: those before it that are not
-// known to have asked the store in vain.
-func (f *Follower) waitsFor() int {
-	first, _ := Sources(f.domain, f.gateways(), f.self)
-	lack := 0
-	for _, a := range first {
-		if f.now().Before(f.lacking[a]) {
-			lack++
+// takeoversAhead returns the number of processes that get time to take over before this one: those before it, except
+// for the failed source and those whose own requests to the store have failed.
+func (f *Follower) takeoversAhead() int {
+	preferred, _ := Sources(f.domain, f.gateways(), f.self)
+	withoutStore := 0
+	for _, a := range preferred {
+		if f.now().Before(f.withoutStoreUntil[a]) {
+			withoutStore++
 		}
 	}
-	return min(max(0, len(first)-max(1, lack)), takeoverMost)
+	return min(max(0, len(preferred)-max(1, withoutStore)), maxTakeoverRank)
 }
 
-// tryPause is the wait before this process tries the store again: those before it try more often, and the others follow
-// them once the store is back.
-func (f *Follower) tryPause() time.Duration {
-	return retryPause * time.Duration(1+f.rank())
+// storeBackoff returns the wait before this process retries the store. Processes of lower rank retry more often, and
+// the others follow them once the store is available.
+func (f *Follower) storeBackoff() time.Duration {
+	return retryPause * time.Duration(1+f.takeoverRank())
 }
 
-// openGate lets this process read the store, or not. At its start the list comes first: it has some tens of KB and
-// shows peers that hold the operators' records. Eight stagers that started beside new upstreams within seconds each
-// read a configuration of 300 KB, again with each change, over one link of 24 Mbit/s between regions: the list took up
-// to 1.5 s on that link, gateways did not see the new upstreams, these heard of no gateway and went on reading, and
-// requests reached upstreams that had left 3.4 s before.
-func (f *Follower) openGate(open bool) {
-	f.long.set(open && (f.lookedWithList || f.now().Sub(f.lostAt) > listMost))
-	if f.gate.set(open) {
+// setGates allows or forbids this process to read the store. At start the list of upstreams comes first: it has some
+// tens of KB and shows peers that hold the operators' records.
+//
+// Without this, eight stagers that started beside new upstreams within seconds each read a configuration of 300 KB, and
+// again after each change, over one 24 Mbit/s link between regions. The list then took up to 1.5 s on that link, so
+// gateways did not learn of the new upstreams, whose stagers in turn learned of no gateway and kept reading. Requests
+// reached upstreams that had left 3.4 s before.
+func (f *Follower) setGates(open bool) {
+	f.operatorsGate.set(open && (f.choseWithList || f.now().Sub(f.sourceLostAt) > listHeadStart))
+	if f.upstreamsGate.set(open) {
 		f.logAge(f.log.Info().Bool("from_store", open).Str("source", f.source)).Msg("source of records")
 	}
 }
 
-// listed says whether the list of upstreams has been read.
-func (f *Follower) listed() bool {
+// upstreamsRead reports whether the list of upstreams has been read.
+func (f *Follower) upstreamsRead() bool {
 	for _, l := range f.logs {
 		if l.topic.KeysAreUpstreams {
 			_, ok := l.Position()
@@ -282,66 +303,66 @@
 	return true
 }
 
-// listMost is how long the list of upstreams goes before the operators' records: a store that can't give the one may
-// give the other.
-const listMost = time.Second
+// listHeadStart is how long reading the list of upstreams may delay reading the operators' records; a store that cannot
+// serve the list may still serve the records.
+const listHeadStart = time.Second
 
-// follow asks a source once and takes its answer.
-func (f *Follower) follow(ctx context.Context, address string) error {
+// followOnce polls a source once and merges its answer.
+func (f *Follower) followOnce(ctx context.Context, address string) error {
 	if address != f.source {
-		f.source, f.epoch, f.from = address, 0, make([]uint64, len(f.logs))
+		f.source, f.epoch, f.lastChanges = address, 0, make([]uint64, len(f.logs))
 	}
-	wait, most := f.patience()
+	wait, timeout := f.pollTimeouts()
 	q := &pb.FollowRequest{Epoch: f.epoch, WaitMs: wait.Milliseconds()}
 	for i, l := range f.logs {
 		next, _ := l.Position()
-		q.Positions = append(q.Positions, &pb.TopicPosition{Topic: l.topic.Name, From: f.from[i], Next: uint64(next)})
+		q.Positions = append(q.Positions, &pb.TopicPosition{Topic: l.topic.Name, From: f.lastChanges[i], Next: uint64(next)})
 	}
-	ask, stop := context.WithTimeout(ctx, most)
+	pollCtx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
-	f.vars.Add("asked", 1)
-	asked := f.now()
-	a, err := f.ask(ask, address, q)
+	f.metrics.Add("asked", 1)
+	requestedAt := f.now()
+	a, err := f.ask(pollCtx, address, q)
 	if err != nil {
 		f.source = ""
 		return trace.Wrap(err)
 	}
-	if err := f.known(a); err != nil {
+	if err := f.checkSource(a); err != nil {
 		f.source = ""
 		return err
 	}
-	answered := asked.Add(time.Duration(max(0, a.GetHeldMs())) * time.Millisecond)
+	answeredAt := requestedAt.Add(time.Duration(max(0, a.GetHeldMs())) * time.Millisecond)
 	for i, t := range a.GetTopics() {
-		if err := f.takeTopic(i, t, address, answered); err != nil {
+		if err := f.mergeTopic(i, t, address, answeredAt); err != nil {
 			f.source = ""
 			return err
 		}
 	}
-	if err := f.check(a); err != nil {
+	if err := f.checkAnswer(a); err != nil {
 		f.source = ""
 		if a.GetStoreFailed() {
-			f.lacking[address] = f.now().Add(lackFor)
+			f.withoutStoreUntil[address] = f.now().Add(withoutStoreFor)
 		}
 		return err
 	}
-	delete(f.lacking, address)
+	delete(f.withoutStoreUntil, address)
 	f.epoch = a.GetEpoch()
 	f.origin.set(a.GetOrigin())
-	f.compare(address, a)
+	f.compareDigests(address, a)
 	return nil
 }
 
-// patience is how long a question may wait at the source, and how long its answer is waited for at the most.
-func (f *Follower) patience() (wait, most time.Duration) {
+// pollTimeouts returns how long a request may wait at the source, and the timeout of the whole request.
+func (f *Follower) pollTimeouts() (wait, timeout time.Duration) {
 	switch {
-	case f.epoch == 0 && (f.started() || f.viaPeer):
-		// A peer that holds the records answers at once; one on a VM without power holds a start up for this long at the most, as
-		// the store is asked after the first that fails.
-		return 0, newSlack + followSlack
-	case f.epoch != 0 && f.rank() == 0:
-		wait = successorWait
+	case f.epoch == 0 && (f.allRead() || f.viaPeer):
+		// A peer that holds the records answers at once. One on a VM that is down delays a start by no more than this
+		// timeout, as the store is asked after the first failure.
+		return 0, firstPollSlack + longPollSlack
+	case f.epoch != 0 && f.takeoverRank() == 0:
+		wait = successorPollWait
 	default:
-		wait = followWait
+		wait = longPollWait
 	}
-	return wait, wait + followSlack
+	return wait, wait + longPollSlack
 }
--- a/internal/records/gate.go
+++ b/internal/records/gate.go
@@ -5,13 +5,13 @@
 	"sync"
 )
 
-// gate lets readers pass while it is open. It starts open.
+// gate blocks readers while it is closed. It starts open.
 type gate struct {
 	mu     sync.Mutex
 	closed chan struct{}
 }
 
-// set opens or closes the gate and says whether that changed anything.
+// set opens or closes the gate, and returns whether that changed its state.
 func (g *gate) set(open bool) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -27,8 +27,8 @@
 	return true
 }
 
-// pass waits until the gate is open or the context ends, and says whether it had to wait.
-func (g *gate) pass(ctx context.Context) bool {
+// wait returns once the gate is open or the context ends, and reports whether it had to wait.
+func (g *gate) wait(ctx context.Context) bool {
 	g.mu.Lock()
 	c := g.closed
 	g.mu.Unlock()
--- a/internal/records/harness_test.go
+++ b/internal/records/harness_test.go
@@ -18,25 +18,25 @@
 	"github.com/springrail/springrail/internal/platform"
 )
 
-var quiet = &log.Logger{Level: log.PanicLevel}
+var silentLogger = &log.Logger{Level: log.PanicLevel}
 
-// fakeStore plays the platform's store.
+// fakeStore simulates the platform's store.
 type fakeStore struct {
 	mu sync.Mutex
-	// shared is the store whose records these are; its lock guards them.
+	// shared is the store whose records this one shares; its lock guards them.
 	shared *fakeStore
 	logs   map[string][]Record
 	calls  int
-	// asked counts the calls for each topic.
-	asked map[string]int
-	// longest is the most records that one reading has returned.
-	longest int
-	down    bool
-	// refuses is a topic that is not to be had.
-	refuses string
+	// callsByTopic counts the calls for each topic.
+	callsByTopic map[string]int
+	// maxReadRecords is the largest number of records that one read has returned.
+	maxReadRecords int
+	down           bool
+	// failingTopic is a topic that the store does not serve.
+	failingTopic string
 }
 
-// lock is what guards the records, and all else of the store.
+// lock returns the mutex that guards the records and the store's other state.
 func (s *fakeStore) lock() *sync.Mutex {
 	if s.shared != nil {
 		return &s.shared.mu
@@ -44,7 +44,7 @@
 	return &s.mu
 }
 
-func (s *fakeStore) put(topic, key, value string) {
+func (s *fakeStore) write(topic, key, value string) {
 	s.lock().Lock()
 	defer s.lock().Unlock()
 	r := Record{Key: key, Position: id.Position(len(s.logs[topic]))}
@@ -60,23 +60,23 @@
 	s.down = down
 }
 
-// count notes a call; the caller holds the lock.
+// count counts a call. The caller holds the lock.
 func (s *fakeStore) count(topic string) {
 	s.calls++
-	if s.asked == nil {
-		s.asked = map[string]int{}
+	if s.callsByTopic == nil {
+		s.callsByTopic = map[string]int{}
 	}
-	s.asked[topic]++
+	s.callsByTopic[topic]++
 }
 
-// askedFor is the number of calls for a topic.
-func (s *fakeStore) askedFor(topic string) int {
+// callsFor returns the number of calls for a topic.
+func (s *fakeStore) callsFor(topic string) int {
 	s.lock().Lock()
 	defer s.lock().Unlock()
-	return s.asked[topic]
+	return s.callsByTopic[topic]
 }
 
-func (s *fakeStore) called() int {
+func (s *fakeStore) callCount() int {
 	s.lock().Lock()
 	defer s.lock().Unlock()
 	return s.calls
@@ -88,7 +88,7 @@
 			s.lock().Lock()
 			defer s.lock().Unlock()
 			s.calls++
-			if s.down || topic == s.refuses {
+			if s.down || topic == s.failingTopic {
 				return platform.ErrUnavailable
 			}
 			return nil
@@ -97,7 +97,7 @@
 			s.lock().Lock()
 			defer s.lock().Unlock()
 			s.count(topic)
-			if s.down || topic == s.refuses {
+			if s.down || topic == s.failingTopic {
 				return nil, 0, platform.ErrUnavailable
 			}
 			newest := map[string]Record{}
@@ -116,13 +116,13 @@
 					return ReadResult{}, platform.ErrUnavailable
 				}
 				l := slices.Clone(s.logs[topic][from:])
-				over := len(l) > 0 || !time.Now().Before(until)
-				if over {
+				finished := len(l) > 0 || !time.Now().Before(until)
+				if finished {
 					s.count(topic)
-					s.longest = max(s.longest, len(l))
+					s.maxReadRecords = max(s.maxReadRecords, len(l))
 				}
 				s.lock().Unlock()
-				if over {
+				if finished {
 					return ReadResult{Records: l, Next: from + id.Position(len(l)), End: from + id.Position(len(l))}, nil
 				}
 				select {
@@ -135,30 +135,30 @@
 	}
 }
 
-// process is one that follows the store, with what it makes of the records.
+// process is a process that follows the store, with the resulting values.
 type process struct {
 	*Records
-	name  string
-	facts *facts.Facts
-	store *fakeStore
-	mu    sync.Mutex
-	got   map[string]string
+	name   string
+	facts  *facts.Facts
+	store  *fakeStore
+	mu     sync.Mutex
+	values map[string]string
 }
 
 func (p *process) value(key string) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.got[key]
+	return p.values[key]
 }
 
-// serving is the list's record of an upstream that serves weights.
-const serving = "serving"
+// servingWeights is the list's record of an upstream that serves weights.
+const servingWeights = "serving"
 
-// asker is how a process asks another one.
-type asker func(ctx context.Context, address string, q *pb.FollowRequest) (*pb.FollowResponse, error)
+// askFunc is how a process sends a request to another one.
+type askFunc func(ctx context.Context, address string, q *pb.FollowRequest) (*pb.FollowResponse, error)
 
-// newProcess makes a process that asks others by the function; it runs until the spec ends or stop is called.
-func newProcess(name string, s *fakeStore, ask asker) (*process, context.CancelFunc) {
+// newProcess starts a process that asks others by the function. It runs until the spec ends or stop is called.
+func newProcess(name string, s *fakeStore, ask askFunc) (*process, context.CancelFunc) {
 	wait := time.Duration(0)
 	if name == "patient" {
 		wait = 300 * time.Millisecond
@@ -168,71 +168,71 @@
 	return p, stop
 }
 
-// newProcessWith makes a process of a store's way that waits for gateways at its start; beside it something runs that tells it of
-// others.
-func newProcessWith(name string, wait time.Duration, way Store, ask asker, beside func(ctx context.Context, p *process)) *process {
-	p, _ := startProcess(name, wait, way, ask, beside)
+// newProcessWith starts a process with the given store calls, which waits for gateways at its start. The background
+// function runs beside it, and can announce gateways to it.
+func newProcessWith(name string, wait time.Duration, store Store, ask askFunc, background func(ctx context.Context, p *process)) *process {
+	p, _ := startProcess(name, wait, store, ask, background)
 	return p
 }
 
-func startProcess(name string, wait time.Duration, way Store, ask asker, beside func(ctx context.Context, p *process)) (*process, context.CancelFunc) {
-	p := &process{name: name, facts: facts.New(time.Now), got: map[string]string{}}
+func startProcess(name string, wait time.Duration, store Store, ask askFunc, background func(ctx context.Context, p *process)) (*process, context.CancelFunc) {
+	p := &process{name: name, facts: facts.New(time.Now), values: map[string]string{}}
 	apply := func(r Record) error {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.got[r.Key] = string(r.Value)
+		p.values[r.Key] = string(r.Value)
 		return nil
 	}
 	upstream := func(r Record) error {
 		if r.Value != nil {
 			i := &facts.Instance{ID: id.Instance(r.Key), Address: r.Key, Domain: "d", ListPosition: r.Position}
-			if string(r.Value) == serving {
+			if string(r.Value) == servingWeights {
 				i.Held = []facts.Held{{Model: "m", Revision: 1}}
 			}
 			p.facts.SetInstance(i)
 		}
 		return apply(r)
 	}
-	with := &Settings{ConfigWait: 50 * time.Millisecond, ListEvery: 20 * time.Millisecond, StartWait: wait}
-	p.Records = New(with, &Platform{
-		Store: way, Operators: Topic{Name: "op", Apply: apply}, Upstreams: Topic{Name: "up", Apply: upstream, KeysAreUpstreams: true},
-	}, p.facts, "d", name, time.Now, quiet)
+	settings := &Settings{ConfigWait: 50 * time.Millisecond, ListEvery: 20 * time.Millisecond, StartWait: wait}
+	p.Records = New(settings, &Platform{
+		Store: store, Operators: Topic{Name: "op", Apply: apply}, Upstreams: Topic{Name: "up", Apply: upstream, KeysAreUpstreams: true},
+	}, p.facts, "d", name, time.Now, silentLogger)
 	p.follower.ask = ask
 	ctx, stop := context.WithCancel(context.Background())
 	DeferCleanup(stop)
 	go func() { _ = p.Run(ctx) }()
-	go beside(ctx, p)
+	go background(ctx, p)
 	return p, stop
 }
 
-// reads says whether the process is in the middle of a whole reading of the operators' records.
-func (p *process) reads() bool {
-	return p.service.logs[0].turn.reading()
+// readsSnapshot reports whether the process is reading a snapshot of the operators' records.
+func (p *process) readsSnapshot() bool {
+	return p.service.logs[0].lease.held()
 }
 
-func nobody(context.Context, string, *pb.FollowRequest) (*pb.FollowResponse, error) {
+func noPeers(context.Context, string, *pb.FollowRequest) (*pb.FollowResponse, error) {
 	return nil, errors.New("nobody")
 }
 
-// pair makes the first gateway of a domain and another process that knows of it.
-func pair(own *fakeStore) (first, second *process, freeze *sync.RWMutex) {
+// pair starts the first gateway of a domain and another process that knows of it.
+func pair(secondStore *fakeStore) (first, second *process, frozen *sync.RWMutex) {
 	s := &fakeStore{logs: map[string][]Record{}}
-	s.put("op", "config", "1")
-	s.put("up", "u", "here")
-	if own == nil {
-		own = s
+	s.write("op", "config", "1")
+	s.write("up", "u", "here")
+	if secondStore == nil {
+		secondStore = s
 	}
-	first, _ = newProcess("a", s, nobody)
+	first, _ = newProcess("a", s, noPeers)
 	Eventually(func() string { return first.value("config") }).Should(Equal("1"))
-	freeze = &sync.RWMutex{}
-	second, _ = newProcess("stager", own, func(ctx context.Context, _ string, q *pb.FollowRequest) (*pb.FollowResponse, error) {
-		if !freeze.TryRLock() {
+	frozen = &sync.RWMutex{}
+	second, _ = newProcess("stager", secondStore, func(ctx context.Context, _ string, q *pb.FollowRequest) (*pb.FollowResponse, error) {
+		if !frozen.TryRLock() {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		defer freeze.RUnlock()
+		defer frozen.RUnlock()
 		return first.service.Follow(ctx, q)
 	})
 	second.facts.NoteGateway("a")
-	return first, second, freeze
+	return first, second, frozen
 }
--- a/internal/records/join.go
+++ b/internal/records/join.go
@@ -6,8 +6,8 @@
 	pb "github.com/springrail/springrail/gen/springrail/v1"
 )
 
-// UseTransport makes this process ask others by a function, and returns what answers theirs. It is for experiments that join
-// processes without a network, and comes before Run.
+// UseTransport replaces the function by which this process asks others, and returns the service that answers them.
+// Simulations use it to connect processes without a network. It must be called before Run.
 func (r *Records) UseTransport(ask func(ctx context.Context, address string, q *pb.FollowRequest) (*pb.FollowResponse, error)) *Service {
 	r.follower.ask = ask
 	return r.service
--- a/internal/records/log.go
+++ b/internal/records/log.go
@@ -15,186 +15,195 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// mostDropped bounds the dropped keys that are remembered for followers; each start of an upstream has a key of its own.
-const mostDropped = 512
+// maxDroppedKeys bounds the dropped keys that are kept for followers; each incarnation of an upstream has its own key.
+const maxDroppedKeys = 512
 
-// Log holds the newest record of each key of a topic and applies what changes. It is safe for concurrent use.
+// Log holds the newest record of each key of a topic, applies changes and serves them to followers. It is safe for
+// concurrent use.
 type Log struct {
 	topic Topic
 	log   *log.Logger
-	// skipped counts the records that could not be read, and skippedLines bounds the lines on them.
-	skipped      expvar.Int
-	skippedLines *rate.Limiter
+	// skipped counts records that could not be decoded, and skipLogLimiter limits the log lines on them.
+	skipped        expvar.Int
+	skipLogLimiter *rate.Limiter
 
-	now    func() time.Time
-	epoch  uint64
-	absent *facts.AbsenceTracker
-	// turn is this process's part in reading the topic whole.
-	turn *turn
+	now func() time.Time
+	// epoch identifies this process lifetime, to which change numbers belong.
+	epoch uint64
+	// absences delays the removal of upstreams within a grace period; nil if the keys are not upstreams.
+	absences *facts.AbsenceTracker
+	// lease is this process's state in the exclusive reading of the topic's snapshot.
+	lease *readLease
 
-	mu      sync.Mutex
-	entries map[string]*entry
-	dropped int
-	// changes counts the changes; forgotten is the last one that can't be told any more as a change.
-	changes, forgotten uint64
-	// forgottenTo is the offset from which on drops are remembered.
-	forgottenTo id.Position
-	// gap is the newest part of the topic that was not read record by record.
+	mu          sync.Mutex
+	entries     map[string]*entry
+	droppedKeys int
+	// lastChange is the number of the newest change. A follower whose cursor is before forgottenChange gets a snapshot,
+	// as dropped keys or gaps have been forgotten since.
+	lastChange, forgottenChange uint64
+	// dropsKnownFrom is the offset from which on dropped keys are kept.
+	dropsKnownFrom id.Position
+	// gap is the newest part of the topic that was skipped by reading a snapshot.
 	gap gap
-	// next is the offset from which on nothing has been read; all that was written before it is held.
+	// next is the offset of the first record not read; everything before it is held.
 	next id.Position
-	// settled is a moment at which the store had nothing from next on; zero where none is known.
-	settled       time.Time
-	started, lost bool
-	// began is when the topic had been read for the first time.
-	began time.Time
-	// returned is the end of the last time in which the store was away for this process and its sources.
-	returned outageEnd
-	// digest is that of all keys that are held; see digest.go.
+	// caughtUpAt is a time at which the store held nothing from next on; zero if unknown.
+	caughtUpAt time.Time
+	// started is true once the topic has been read, and storeLost while the store counts as lost.
+	started, storeLost bool
+	// firstReadAt is when the topic was first read.
+	firstReadAt time.Time
+	// lastOutage is the end of the last outage of the store for this process and its sources.
+	lastOutage outageEnd
+	// digest is the sum of digestOf over all keys held.
 	digest uint64
-	// confirmed is when the store last said that nothing is missing.
-	confirmed time.Time
-	// own is when this process last read the store itself, and failed when it last failed to.
-	own, failed time.Time
-	changed     chan struct{}
+	// confirmedAt is when the store last confirmed that no record is missing.
+	confirmedAt time.Time
+	// storeReadAt is when this process itself last read the store, and storeFailedAt when a request of its own last failed.
+	storeReadAt, storeFailedAt time.Time
+	// changed closes at the next change.
+	changed chan struct{}
 }
 
-// NewLog makes an empty log of a topic.
+// NewLog returns an empty log of a topic.
 func NewLog(t Topic, f *facts.Facts, now func() time.Time, l *log.Logger) *Log {
 	g := &Log{
 		topic: t, log: l, now: now, epoch: rand.Uint64() | 1, entries: map[string]*entry{}, changed: make(chan struct{}),
-		skippedLines: rate.NewLimiter(skippedPerSecond, skippedAtOnce), turn: newTurn("", "", now),
+		skipLogLimiter: rate.NewLimiter(skipLogRate, skipLogBurst), lease: newReadLease("", "", now),
 	}
 	if t.KeysAreUpstreams {
-		g.absent = facts.NewAbsenceTracker(f, now, l)
+		g.absences = facts.NewAbsenceTracker(f, now, l)
 	}
 	return g
 }
 
-// gap is a part of a topic of which only the newest records were read: what came and went in it is not known.
+// gap is a part of a topic of which only the newest record of each key was read. Keys that were both written and
+// dropped within it are unknown.
 type gap struct {
-	// It begins at from and ends before to; change is the number of the change that it counts as.
+	// from is the first offset of the gap, to the first one after it, and change the number of the change that it counts as.
 	from, to id.Position
 	change   uint64
 }
 
-// Batch is what a source says of a topic.
+// Batch is what one answer of the store, or of another process, says of a topic.
 type Batch struct {
 	Records []Record
-	// Snapshot says that the records are all there are.
+	// Snapshot says that the records are the newest of all keys.
 	Snapshot bool
-	// Next is the offset from which on nothing has been read.
+	// Next is the offset of the first record that has not been read.
 	Next id.Position
-	// ConfirmedAt is when the store said so.
+	// ConfirmedAt is when the store confirmed that no record before Next is missing.
 	ConfirmedAt time.Time
-	// CaughtUpAt is a moment at which the store had nothing from Next on: when it was asked, as its answer may have been
-	// long on its way. Zero where none is known.
+	// CaughtUpAt is a time at which the store held nothing from Next on; zero if unknown. It is the time of the
+	// request, as the answer may have been in transfer for long.
 	CaughtUpAt time.Time
-	// FromStore says that this process has read it from the store itself, and Uninterrupted that it had asked without standing still ever
-	// since its last good reading.
+	// FromStore says that this process itself read the batch from the store, and Uninterrupted that it has polled the
+	// store without being suspended since its last successful read.
 	FromStore, Uninterrupted bool
-	// LastFailedAt is when this process had last asked the store in vain since it had read it; zero where it has not.
+	// LastFailedAt is when the last failed request of this process since its last successful read began; zero if there
+	// was none.
 	LastFailedAt time.Time
-	// FirstReadAt is when the source had read the topic for the first time; zero where it does not say.
+	// FirstReadAt is when the source first read the topic; zero if unknown.
 	FirstReadAt time.Time
-	// HasGap says that the source has not read record by record from GapFrom on.
+	// HasGap says that the source skipped records from GapFrom on by reading a snapshot.
 	HasGap  bool
 	GapFrom id.Position
-	// OutageEnd is the end of the last time in which the source had not had the store.
+	// OutageEnd is the end of the last outage of the store for the source.
 	OutageEnd outageEnd
-	// GraceUntil is the end of the time in which keys that are gone may come back.
+	// GraceUntil is the end of the source's grace period, within which removed keys may return.
 	GraceUntil time.Time
 }
 
-// Merge merges a batch. Records older than what is known change nothing. It is false, and nothing is taken, where this
-// process has read further itself than its source had before a gap: what it knows of the gap may be over, and the batch
-// can't tell.
+// Merge merges a batch; records older than those held change nothing. It returns false and ignores the batch if this
+// process had read further than its source before the source's gap: keys that it holds may have been dropped within the
+// gap, and the batch does not list them.
 func (l *Log) Merge(b Batch) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if b.HasGap && !b.Snapshot && l.next > b.GapFrom {
 		return false
 	}
-	l.outage(b)
-	l.enterEra(b.Next)
-	before := l.changes
+	l.noteOutage(b)
+	l.noteNewEra(b.Next)
+	before := l.lastChange
 	for _, r := range b.Records {
 		if r.Position >= l.next {
-			l.bound(&r)
+			l.setTimeBounds(&r)
 		}
 		if b.FromStore && !b.Snapshot {
-			// Read one by one: there is none that was not read.
+			// Record by record, nothing was skipped before this one.
 			r.UnreadSince = r.After
 		}
 		l.mergeRecord(r, b)
 	}
 	if b.Snapshot {
-		l.keepOnly(b)
+		l.dropAbsentKeys(b)
 	}
-	if l.absent != nil {
-		l.absent.Sweep()
+	if l.absences != nil {
+		l.absences.Sweep()
 	}
 	switch {
 	case b.Snapshot && !l.started:
-		l.forgottenTo, l.began = b.Next, l.now()
+		l.dropsKnownFrom, l.firstReadAt = b.Next, l.now()
 	case (b.Snapshot && b.Next > l.next) || b.HasGap:
-		l.skip(b.Next)
+		l.recordGap(b.Next)
 	}
 	l.advance(b)
 	l.started = l.started || b.Snapshot
 	if b.FromStore {
-		l.own = l.now()
+		l.storeReadAt = l.now()
 	}
-	if b.ConfirmedAt.After(l.confirmed) {
-		l.confirmed = b.ConfirmedAt
+	if b.ConfirmedAt.After(l.confirmedAt) {
+		l.confirmedAt = b.ConfirmedAt
 	}
-	if l.changes > before {
+	if l.lastChange > before {
 		close(l.changed)
 		l.changed = make(chan struct{})
 	}
 	return true
 }
 
-// skip notes a gap up to an offset; followers that lack an earlier one too get the whole. The caller holds the lock.
-func (l *Log) skip(to id.Position) {
-	l.forgotten = max(l.forgotten, l.gap.change)
-	l.forgottenTo = max(l.forgottenTo, l.gap.to)
-	l.changes++
-	l.gap = gap{from: l.next, to: to, change: l.changes}
+// recordGap notes that the records up to an offset were skipped. Followers that have not passed the previous gap get a
+// snapshot. The caller holds the lock.
+func (l *Log) recordGap(to id.Position) {
+	l.forgottenChange = max(l.forgottenChange, l.gap.change)
+	l.dropsKnownFrom = max(l.dropsKnownFrom, l.gap.to)
+	l.lastChange++
+	l.gap = gap{from: l.next, to: to, change: l.lastChange}
 }
 
-// advance notes how far the store has been read; the caller holds the lock.
+// advance updates how far the topic has been read. The caller holds the lock.
 func (l *Log) advance(b Batch) {
-	if b.Next >= l.next && b.CaughtUpAt.After(l.settled) {
-		// A moment known for an earlier next holds for a later one too.
-		l.settled = b.CaughtUpAt
+	if b.Next >= l.next && b.CaughtUpAt.After(l.caughtUpAt) {
+		// A time at which the store held nothing from a lower offset on also holds for a higher one.
+		l.caughtUpAt = b.CaughtUpAt
 	}
 	l.next = max(l.next, b.Next)
 }
 
-// mergeRecord takes a record of a batch; the caller holds the lock.
+// mergeRecord merges one record of a batch. The caller holds the lock.
 func (l *Log) mergeRecord(r Record, b Batch) {
 	e := l.entries[r.Key]
 	held := e != nil && e.Value != nil
-	current := b.Snapshot && b.Next >= l.next
-	version := l.version(r)
+	upToDate := b.Snapshot && b.Next >= l.next
+	version := l.versionOf(r)
 	switch {
 	case held && version < e.version && version > 0:
-		l.late(e, r)
+		l.logLateRecord(e, r)
 		return
 	case held && version > e.version && e.version > 0 && r.Position != e.Position:
-		// Whatever its offset: the newest record of a key need not have the highest number.
+		// The offset does not matter here: the newest record of a key need not have the highest version.
 		r.TimeBounds, _ = dating.TimeBounds{KnownAt: l.now()}.Merge(r.TimeBounds)
-		l.change(e, r)
+		l.applyChange(e, r)
 		return
-	case !held && !current && r.Position < l.next:
-		// A key that is not held was dropped before next: the record is older than that.
+	case !held && !upToDate && r.Position < l.next:
+		// The record is outdated: the key was dropped between it and next.
 		return
 	case e == nil:
 		e = &entry{}
 		l.entries[r.Key] = e
 	case r.Position == e.Position && r.Value != nil:
-		l.date(e, r)
+		l.mergeTimeBounds(e, r)
 		return
 	case r.Position < e.Position:
 		return
@@ -204,180 +213,181 @@
 	}
 	r.TimeBounds, _ = dating.TimeBounds{KnownAt: l.now()}.Merge(r.TimeBounds)
 	if e.change == 0 || (r.Value == nil) != (e.Value == nil) || !bytes.Equal(r.Value, e.Value) {
-		l.change(e, r)
+		l.applyChange(e, r)
 		return
 	}
 	r.TimeBounds = e.TimeBounds
-	if b.Snapshot || len(r.Value) >= packFrom {
-		// The key may have had another value meanwhile, which a follower has read itself: this one is told as newer. A long
-		// value's offset is what patches build on.
-		l.number(e, r)
+	if b.Snapshot || len(r.Value) >= compressThreshold {
+		// The key may have had another value meanwhile, which a follower may have read from the store, so the record is
+		// sent as a new change. For large values, patches also refer to the offset.
+		l.numberChange(e, r)
 		return
 	}
 	e.Record = r
 }
 
-// version is the number that a record's value names.
-func (l *Log) version(r Record) uint64 {
+// versionOf returns the version number in a record's value, or 0.
+func (l *Log) versionOf(r Record) uint64 {
 	if l.topic.Version == nil || r.Value == nil {
 		return 0
 	}
 	return l.topic.Version(r)
 }
 
-// late tells of a record that was written behind one with a higher number; the caller holds the lock.
-func (l *Log) late(e *entry, r Record) {
-	if r.Position <= e.Position || r.Position < l.next || !l.skippedLines.AllowN(l.now(), 1) {
+// logLateRecord logs a record that was written after one with a higher version. The caller holds the lock.
+func (l *Log) logLateRecord(e *entry, r Record) {
+	if r.Position <= e.Position || r.Position < l.next || !l.skipLogLimiter.AllowN(l.now(), 1) {
 		return
 	}
 	l.log.Warn().Str("topic", l.topic.Name).Str("key", r.Key).Uint64("offset", r.Position.Offset()).Uint64("era", r.Position.Era()).Uint64("held_offset", e.Position.Offset()).
-		Uint64("version", l.version(r)).Uint64("held_version", e.version).Msg("a record names an older version than one before it; passed over")
+		Uint64("version", l.versionOf(r)).Uint64("held_version", e.version).Msg("record ignored: an earlier one has a higher version")
 }
 
-// date takes what a source tells of when a held record was written. The caller holds the lock.
-func (l *Log) date(e *entry, r Record) {
-	if e.Value == nil || e.skipped {
+// mergeTimeBounds merges a source's time bounds into those of the record held. The caller holds the lock.
+func (l *Log) mergeTimeBounds(e *entry, r Record) {
+	if e.Value == nil || e.unreadable {
 		return
 	}
-	d, o := e.Merge(r.TimeBounds)
-	if o == dating.Refused && l.skippedLines.AllowN(l.now(), 1) {
+	merged, outcome := e.Merge(r.TimeBounds)
+	if outcome == dating.Refused && l.skipLogLimiter.AllowN(l.now(), 1) {
 		l.log.Warn().Str("topic", l.topic.Name).Str("key", e.Key).Uint64("offset", e.Position.Offset()).Uint64("era", e.Position.Era()).Time("after", r.After).
-			Str("by", r.Source.Observer).Stringer("evidence", r.Source.Evidence).Msg("date of a record refused")
+			Str("by", r.Source.Observer).Stringer("evidence", r.Source.Evidence).Msg("time bounds of a record rejected: they contradict those known here")
 	}
-	old := e.After
-	e.TimeBounds = d
-	if !d.After.Equal(old) {
+	previousAfter := e.After
+	e.TimeBounds = merged
+	if !merged.After.Equal(previousAfter) {
 		l.apply(e, e.Record)
 	}
 }
 
 const (
-	// skippedPerSecond and skippedAtOnce bound the lines on records that can't be read: whoever else writes to a topic may do so as
-	// often as the store takes it, and each is counted.
-	skippedPerSecond = 2
-	skippedAtOnce    = 20
+	// skipLogRate and skipLogBurst limit the log lines on records that cannot be decoded, as other writers may fill a
+	// topic with them. The metric counts every one.
+	skipLogRate  = 2
+	skipLogBurst = 20
 )
 
-// apply hands the record of an entry to the product; the caller holds the lock.
+// apply passes a key's record to the topic's Apply function. The caller holds the lock.
 func (l *Log) apply(e *entry, r Record) {
 	err := l.topic.Apply(r)
-	e.skipped = err != nil
+	e.unreadable = err != nil
 	if err == nil {
 		return
 	}
 	l.skipped.Add(1)
-	if l.skippedLines.AllowN(l.now(), 1) {
+	if l.skipLogLimiter.AllowN(l.now(), 1) {
 		l.log.Warn().Err(err).Str("topic", l.topic.Name).Str("key", r.Key).Uint64("offset", r.Position.Offset()).Uint64("era", r.Position.Era()).
-			Int64("skipped", l.skipped.Value()).Msg("record skipped")
+			Int64("skipped", l.skipped.Value()).Msg("record skipped: it could not be decoded")
 	}
 }
 
-// change numbers a new record of a key and applies it; the caller holds the lock.
-func (l *Log) change(e *entry, r Record) {
+// applyChange applies a new record of a key and assigns a change number to it. The caller holds the lock.
+func (l *Log) applyChange(e *entry, r Record) {
 	l.apply(e, r)
-	if v := l.version(r); !e.skipped && v > 0 {
+	if v := l.versionOf(r); !e.unreadable && v > 0 {
 		e.version = v
 	}
-	if l.absent != nil {
-		l.absent.NoteEntry(id.Instance(r.Key), r.Value != nil)
+	if l.absences != nil {
+		l.absences.NoteEntry(id.Instance(r.Key), r.Value != nil)
 	}
 	if r.Value == nil && (e.change == 0 || e.Value != nil) {
-		// Also of a key that was not held here: a follower may hold it.
-		l.dropped++
+		// A drop counts even if the key was not held here, as a follower may hold it.
+		l.droppedKeys++
 	}
 	if r.Value != nil && e.change > 0 && e.Value == nil {
-		l.dropped--
+		l.droppedKeys--
 	}
 	d := digestOf(r)
 	l.digest += d - e.digest
 	e.digest = d
-	l.number(e, r)
-	if l.dropped > mostDropped {
-		l.forget()
+	l.numberChange(e, r)
+	if l.droppedKeys > maxDroppedKeys {
+		l.forgetDropped()
 	}
 }
 
-// number makes a record one that followers are told; the caller holds the lock.
-func (l *Log) number(e *entry, r Record) {
-	l.changes++
-	e.before, e.beforeChange = e.Record, e.change
-	e.Record, e.change, e.packed, e.patch = r, l.changes, nil, nil
+// numberChange assigns the next change number to a record, so that followers receive it. The caller holds the lock.
+func (l *Log) numberChange(e *entry, r Record) {
+	l.lastChange++
+	e.previous, e.previousChange = e.Record, e.change
+	e.Record, e.change, e.compressed, e.patch = r, l.lastChange, nil, nil
 }
 
-// forget drops the memory of dropped keys: followers that lag behind get the whole. The caller holds the lock.
-func (l *Log) forget() {
+// forgetDropped forgets all dropped keys, so that followers that lag behind get a snapshot. The caller holds the lock.
+func (l *Log) forgetDropped() {
 	for k, e := range l.entries {
 		if e.Value == nil {
-			l.forgottenTo = max(l.forgottenTo, e.Position+1)
+			l.dropsKnownFrom = max(l.dropsKnownFrom, e.Position+1)
 			delete(l.entries, k)
 		}
 	}
-	l.dropped, l.forgotten = 0, l.changes
+	l.droppedKeys, l.forgottenChange = 0, l.lastChange
 }
 
-// keepOnly drops the keys that a whole list lacks, unless they were written after it; the caller holds the lock.
+// dropAbsentKeys drops the keys that a snapshot lacks, unless they were written after it. The caller holds the lock.
 //
-// The drop is dated by the reading that shows it, not by the record that it ends: followers have that record, and would take
-// the drop for known. A key that is written again has an offset from Next on.
-func (l *Log) keepOnly(b Batch) {
-	listed := map[string]bool{}
+// The drop gets the position before the end of the snapshot and not that of the record that it ends: followers hold
+// that record, and would ignore a drop at its position. A key that is written again has a position from Next on.
+func (l *Log) dropAbsentKeys(b Batch) {
+	inSnapshot := map[string]bool{}
 	for _, r := range b.Records {
-		listed[r.Key] = true
+		inSnapshot[r.Key] = true
 	}
 	for k, e := range l.entries {
-		if listed[k] || e.Value == nil || e.Position >= b.Next || l.keeps(e, b.Next) {
+		if inSnapshot[k] || e.Value == nil || e.Position >= b.Next || l.survivesNewEra(e, b.Next) {
 			continue
 		}
 		l.log.Info().Str("topic", l.topic.Name).Str("key", k).Uint64("offset", e.Position.Offset()).Uint64("era", e.Position.Era()).Uint64("next", b.Next.Offset()).
-			Msg("key not among all records any more")
-		l.change(e, Record{Key: k, Position: b.Next - 1})
+			Msg("key dropped: it is not in the snapshot")
+		l.applyChange(e, Record{Key: k, Position: b.Next - 1})
 	}
 }
 
-// keeps says whether a key stays that a whole list of a later era lacks: a value whose number only rises is written again,
-// and is not taken back until then. The caller holds the lock.
-func (l *Log) keeps(e *entry, next id.Position) bool {
+// survivesNewEra reports whether a key is kept that a snapshot of a later store epoch lacks. A value whose version only
+// rises is kept until it is written again. The caller holds the lock.
+func (l *Log) survivesNewEra(e *entry, next id.Position) bool {
 	return e.version > 0 && e.Position.Era() < next.Era()
 }
 
-// enterEra notes that the store has come back from an older copy. The upstreams whose entries it lacks may come back, as
-// after any return of the store. The caller holds the lock.
-func (l *Log) enterEra(next id.Position) {
+// noteNewEra detects that the store was restored from an older copy and has begun a new epoch. Upstreams that the copy
+// lacks get a grace period, as after any outage. The caller holds the lock.
+func (l *Log) noteNewEra(next id.Position) {
 	if !l.started || next.Era() <= l.next.Era() {
 		return
 	}
 	l.log.Warn().Str("topic", l.topic.Name).Uint64("era", next.Era()).Uint64("next", next.Offset()).Uint64("era_before", l.next.Era()).
-		Uint64("next_before", l.next.Offset()).Msg("the store has come back from an older copy")
-	if l.absent != nil {
-		l.absent.NoteListReturned()
+		Uint64("next_before", l.next.Offset()).Msg("the store was restored from an older copy")
+	if l.absences != nil {
+		l.absences.NoteListReturned()
 	}
 }
 
-// ageMost is the greatest age at which a source's records of the topic are taken.
-func (l *Log) ageMost() time.Duration {
+// maxAge returns the maximum age at which a source's records of the topic are accepted.
+func (l *Log) maxAge() time.Duration {
 	if l.topic.KeysAreUpstreams {
-		return freshMost
+		return maxFreshAge
 	}
-	return slowMost
+	return maxOperatorsAge
 }
 
-// endTurn is the end of this process's reading of the whole topic; who follows it hears at once how that went.
-func (l *Log) endTurn() {
-	l.turn.end()
+// releaseLease ends this process's reading of the snapshot, and wakes followers so that they learn the result at once.
+func (l *Log) releaseLease() {
+	l.lease.release()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
 
-// Position returns the offset to read on from; started is false before the first whole reading.
+// Position returns the offset of the first record not read. started is false until the topic has been read for the
+// first time.
 func (l *Log) Position() (next id.Position, started bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.next, l.started
 }
 
-// valueAt returns the value of a key if its newest record is the one at an offset.
+// valueAt returns the value of a key if its newest record is at the given position, or else nil.
 func (l *Log) valueAt(key string, offset id.Position) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/records/log_test.go
+++ b/internal/records/log_test.go
@@ -17,14 +17,14 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// newList makes a log of upstreams that puts them into facts.
-func newList(f *facts.Facts, now func() time.Time) *Log {
+// newUpstreamsLog returns a log of upstreams that applies them to facts.
+func newUpstreamsLog(f *facts.Facts, now func() time.Time) *Log {
 	return NewLog(Topic{Name: "t", KeysAreUpstreams: true, Apply: func(r Record) error {
 		if r.Value != nil {
 			f.SetInstance(&facts.Instance{ID: id.Instance(r.Key)})
 		}
 		return nil
-	}}, f, now, quiet)
+	}}, f, now, silentLogger)
 }
 
 var _ = Describe("a log", func() {
@@ -39,13 +39,13 @@
 		}}
 	}
 
-	It("leads any follower to its own state, whatever was asked when and however old what the source reads is", func() {
+	It("brings any follower to its own state, whatever is polled when and even if its source reads outdated records", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			a, b := map[string]string{}, map[string]string{}
 			f := facts.New(time.Now)
 			now := time.Now()
 			clock := func() time.Time { return now }
-			source, follower := NewLog(topic(a), f, clock, quiet), NewLog(topic(b), f, clock, quiet)
+			source, follower := NewLog(topic(a), f, clock, silentLogger), NewLog(topic(b), f, clock, silentLogger)
 			offset, epoch, from := id.Position(0), uint64(0), uint64(0)
 			var written []Record
 			source.Merge(Batch{Snapshot: true, ConfirmedAt: now})
@@ -64,7 +64,7 @@
 				source.Merge(Batch{Records: []Record{r}, Next: offset, ConfirmedAt: now})
 				if rapid.IntRange(0, 20).Draw(t, "forget") == 0 {
 					source.mu.Lock()
-					source.forget()
+					source.forgetDropped()
 					source.mu.Unlock()
 				}
 				if rapid.Bool().Draw(t, "follows") {
@@ -87,7 +87,7 @@
 		got := map[string]string{}
 		o := topic(got)
 		o.Normalise = func(v []byte) []byte { return v[:1] }
-		l := NewLog(o, facts.New(time.Now), time.Now, quiet)
+		l := NewLog(o, facts.New(time.Now), time.Now, silentLogger)
 		l.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: []byte("a1")}}, Next: 1})
 		c, changed, _ := l.ChangesSince(Cursor{Epoch: l.epoch})
 		l.Merge(Batch{Records: []Record{{Key: "k", Value: []byte("a2"), Position: 1}}, Next: 2})
@@ -100,26 +100,26 @@
 		Expect(c.Records).To(HaveLen(1))
 	})
 
-	It("gives no grace where only this process can't reach the store and another one hands fresh records on", func() {
+	It("gives no grace period if only this process cannot reach the store and another one provides fresh records", func() {
 		now := time.Now()
 		f := facts.New(time.Now)
-		l := newList(f, func() time.Time { return now })
+		l := newUpstreamsLog(f, func() time.Time { return now })
 		l.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: []byte("a")}, {Key: "l", Value: []byte("a")}}, Next: 1, ConfirmedAt: now})
-		l.NoteStoreFailure(errOwn)
+		l.NoteStoreFailure(errFollowsSelf)
 		l.Merge(Batch{Records: []Record{{Key: "k", Position: 1}}, Next: 2, ConfirmedAt: now, FromStore: true})
 		Expect(f.Instance("k")).To(BeNil())
-		now = now.Add(freshMost + time.Millisecond)
-		l.NoteStoreFailure(errOwn)
+		now = now.Add(maxFreshAge + time.Millisecond)
+		l.NoteStoreFailure(errFollowsSelf)
 		l.Merge(Batch{Records: []Record{{Key: "l", Position: 2}}, Next: 3, ConfirmedAt: now, FromStore: true})
-		Expect(f.Instance("l")).NotTo(BeNil(), "the store was away for all")
+		Expect(f.Instance("l")).NotTo(BeNil(), "the store was unavailable to all")
 	})
 
-	It("keeps upstreams whose records went while its source had lost the store for the source's grace", func() {
+	It("keeps upstreams that were removed while its source had lost the store for the source's grace period", func() {
 		now := time.Now()
 		f := facts.New(time.Now)
-		l := newList(f, func() time.Time { return now })
+		l := newUpstreamsLog(f, func() time.Time { return now })
 		l.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: []byte("a")}}, Next: 1, ConfirmedAt: now})
-		now = now.Add(freshMost + time.Second)
+		now = now.Add(maxFreshAge + time.Second)
 		l.Merge(Batch{Records: []Record{{Key: "k", Position: 1}}, Next: 2, ConfirmedAt: now, GraceUntil: now.Add(time.Second)})
 		Expect(f.Instance("k")).NotTo(BeNil())
 		now = now.Add(2 * time.Second)
@@ -127,33 +127,34 @@
 		Expect(f.Instance("k")).To(BeNil())
 	})
 
-	// An upstream whose record went was kept for two more seconds where the first reader of the domain, cut off alone, had
-	// its way to the store back: it took the store for away and gave its grace to processes that had had fresh records from
-	// another one all the time. With two readers cut off the last process knew after 4.5 s.
-	It("takes over no grace of a source that alone had lost the store", func() {
+	// Guards against grace periods passed on needlessly. The first reader of a domain had been cut off alone, took that
+	// for an outage and gave its grace period to processes that had fresh records from another reader: they kept a
+	// removed upstream for two more seconds. With two readers cut off the last process learned of the removal after 4.5
+	// s.
+	It("ignores the grace period of a source that alone had lost the store", func() {
 		now := time.Now()
 		f := facts.New(time.Now)
-		l := newList(f, func() time.Time { return now })
+		l := newUpstreamsLog(f, func() time.Time { return now })
 		l.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: []byte("a")}}, Next: 1, ConfirmedAt: now})
-		now = now.Add(freshMost - time.Millisecond)
+		now = now.Add(maxFreshAge - time.Millisecond)
 		l.Merge(Batch{Records: []Record{{Key: "k", Position: 1}}, Next: 2, ConfirmedAt: now, GraceUntil: now.Add(2 * time.Second)})
 		Expect(f.Instance("k")).To(BeNil())
 	})
 
-	It("starts no grace of its own where another process hands on what it has read meanwhile", func() {
+	It("starts no grace period of its own if another process has read the store meanwhile", func() {
 		now := time.Now()
 		f := facts.New(time.Now)
-		l := newList(f, func() time.Time { return now })
+		l := newUpstreamsLog(f, func() time.Time { return now })
 		l.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: []byte("a")}}, Next: 1, ConfirmedAt: now})
-		now = now.Add(freshMost + time.Second)
-		l.NoteStoreFailure(errOwn)
+		now = now.Add(maxFreshAge + time.Second)
+		l.NoteStoreFailure(errFollowsSelf)
 		l.Merge(Batch{Records: []Record{{Key: "k", Position: 1}}, Next: 2, ConfirmedAt: now})
 		Expect(f.Instance("k")).To(BeNil())
 	})
 })
 
-var _ = Describe("a long record", func() {
-	long := func(n int) []byte {
+var _ = Describe("a large record", func() {
+	largeValue := func(n int) []byte {
 		r := rand.New(rand.NewPCG(1, 2))
 		var b bytes.Buffer
 		for i := range 4000 {
@@ -167,107 +168,107 @@
 	newPair := func() (source, follower *Log) {
 		f := facts.New(time.Now)
 		t := Topic{Name: "t", Apply: func(Record) error { return nil }}
-		source, follower = NewLog(t, f, time.Now, quiet), NewLog(t, f, time.Now, quiet)
-		source.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: long(0)}}, Next: 1})
+		source, follower = NewLog(t, f, time.Now, silentLogger), NewLog(t, f, time.Now, silentLogger)
+		source.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: largeValue(0)}}, Next: 1})
 		return source, follower
 	}
 
-	It("is handed on compressed, and as a patch to those that have the one before", func() {
+	It("is sent compressed, and as a patch to followers that have the previous one", func() {
 		source, follower := newPair()
 		c, _, _ := source.ChangesSince(Cursor{})
-		m := tell("t", c).GetRecords()[0]
-		Expect(len(m.GetValue())).To(BeNumerically("<", len(long(0))/2))
-		Expect(follower.valueOf(m)).To(Equal(long(0)))
-		follower.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: long(0)}}, Next: 1})
-		source.Merge(Batch{Records: []Record{{Key: "k", Value: long(1), Position: 1}}, Next: 2})
+		m := topicChanges("t", c).GetRecords()[0]
+		Expect(len(m.GetValue())).To(BeNumerically("<", len(largeValue(0))/2))
+		Expect(follower.valueOf(m)).To(Equal(largeValue(0)))
+		follower.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: largeValue(0)}}, Next: 1})
+		source.Merge(Batch{Records: []Record{{Key: "k", Value: largeValue(1), Position: 1}}, Next: 2})
 		c, _, _ = source.ChangesSince(Cursor{Epoch: source.epoch, Change: c.LastChange})
-		m = tell("t", c).GetRecords()[0]
+		m = topicChanges("t", c).GetRecords()[0]
 		Expect(len(m.GetValue())).To(BeNumerically("<", 2000))
-		Expect(follower.valueOf(m)).To(Equal(long(1)))
-		follower.Merge(Batch{Records: []Record{{Key: "k", Value: long(5), Position: 5}}, Next: 6})
+		Expect(follower.valueOf(m)).To(Equal(largeValue(1)))
+		follower.Merge(Batch{Records: []Record{{Key: "k", Value: largeValue(5), Position: 5}}, Next: 6})
 		_, err := follower.valueOf(m)
-		Expect(errors.Is(err, errNoBase)).To(BeTrue())
-		source.Merge(Batch{Records: []Record{{Key: "k", Value: long(2), Position: 2}}, Next: 3})
+		Expect(errors.Is(err, errNoPatchBase)).To(BeTrue())
+		source.Merge(Batch{Records: []Record{{Key: "k", Value: largeValue(2), Position: 2}}, Next: 3})
 		c, _, _ = source.ChangesSince(Cursor{Epoch: source.epoch, Change: 1})
-		Expect(tell("t", c).GetRecords()[0].GetPatched()).To(BeFalse(), "the follower lacks the one before")
+		Expect(topicChanges("t", c).GetRecords()[0].GetPatched()).To(BeFalse(), "the follower lacks the previous one")
 		c, _, _ = source.ChangesSince(Cursor{})
-		Expect(tell("t", c).GetRecords()[0].GetPatched()).To(BeFalse())
+		Expect(topicChanges("t", c).GetRecords()[0].GetPatched()).To(BeFalse())
 	})
 
-	It("that is spoilt or endless is refused", func() {
+	It("that is corrupt or too large is refused", func() {
 		_, follower := newPair()
 		_, err := follower.valueOf(&pb.RelayedRecord{Packed: true, Value: []byte("no zstd")})
 		Expect(err).To(HaveOccurred())
-		endless, err := pack(make([]byte, unpackMost+1), nil)
+		oversized, err := compress(make([]byte, maxUnpackedBytes+1), nil)
 		Expect(err).NotTo(HaveOccurred())
-		_, err = follower.valueOf(&pb.RelayedRecord{Packed: true, Value: endless})
+		_, err = follower.valueOf(&pb.RelayedRecord{Packed: true, Value: oversized})
 		Expect(err).To(HaveOccurred())
 	})
 })
 
-var _ = Describe("an upstream whose entry lapsed while the store was away for all", func() {
+var _ = Describe("an upstream whose record expired during an outage of the store", func() {
 	var now time.Time
 	var f *facts.Facts
 	var l *Log
-	gone := Batch{Records: []Record{{Key: "k", Position: 1}}, Next: 2}
+	removal := Batch{Records: []Record{{Key: "k", Position: 1}}, Next: 2}
 	BeforeEach(func() {
 		now = time.Now()
 		f = facts.New(func() time.Time { return now })
-		l = newList(f, func() time.Time { return now })
+		l = newUpstreamsLog(f, func() time.Time { return now })
 		l.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: []byte("a")}}, Next: 1, ConfirmedAt: now})
-		now = now.Add(freshMost + time.Second)
+		now = now.Add(maxFreshAge + time.Second)
 	})
 
-	It("is kept for a while where a call went through after all without an error", func() {
-		b := gone
+	It("is kept for a grace period if a slow call succeeded in the end", func() {
+		b := removal
 		b.ConfirmedAt, b.CaughtUpAt, b.FromStore, b.Uninterrupted = now, now, true, true
 		l.Merge(b)
 		Expect(f.Instance("k")).NotTo(BeNil())
 	})
 
-	It("is gone at once where this process stood still meanwhile, and not the store", func() {
-		b := gone
+	It("is removed at once if this process was suspended and the store was not down", func() {
+		b := removal
 		b.ConfirmedAt, b.CaughtUpAt, b.FromStore = now, now, true
 		l.Merge(b)
 		Expect(f.Instance("k")).To(BeNil())
 	})
 
-	It("is kept for a while where the source has started since, which can't tell", func() {
-		b := gone
+	It("is kept for a grace period if the source has started since, as it cannot tell", func() {
+		b := removal
 		b.ConfirmedAt, b.FirstReadAt = now, now.Add(-time.Second)
 		l.Merge(b)
 		Expect(f.Instance("k")).NotTo(BeNil())
 	})
 
-	It("is gone at once where the source has read all the time and gives no grace", func() {
-		b := gone
+	It("is removed at once if the source has read throughout and reports no grace period", func() {
+		b := removal
 		b.ConfirmedAt, b.FirstReadAt = now, now.Add(-time.Hour)
 		l.Merge(b)
 		Expect(f.Instance("k")).To(BeNil())
 	})
 })
 
-var _ = Describe("a long record that is written again as it was", func() {
-	It("is still a base for the next patch", func() {
+var _ = Describe("a large record that is written again unchanged", func() {
+	It("still serves as base of the next patch", func() {
 		f := facts.New(time.Now)
 		t := Topic{Name: "t", Apply: func(Record) error { return nil }}
-		source, follower := NewLog(t, f, time.Now, quiet), NewLog(t, f, time.Now, quiet)
-		long := bytes.Repeat([]byte("abcdefgh"), packFrom)
+		source, follower := NewLog(t, f, time.Now, silentLogger), NewLog(t, f, time.Now, silentLogger)
+		largeValue := bytes.Repeat([]byte("abcdefgh"), compressThreshold)
 		p := Cursor{Epoch: source.epoch}
-		pass := func() {
+		followOnce := func() {
 			c, _, _ := source.ChangesSince(p)
-			for _, m := range tell("t", c).GetRecords() {
+			for _, m := range topicChanges("t", c).GetRecords() {
 				v, err := follower.valueOf(m)
 				Expect(err).NotTo(HaveOccurred())
 				follower.Merge(Batch{Records: []Record{{Key: m.GetKey(), Value: v, Position: id.Position(m.GetOffset())}}, Next: c.Next})
 			}
 			p.Change = c.LastChange
 		}
-		source.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: long}}, Next: 1})
-		pass()
-		source.Merge(Batch{Records: []Record{{Key: "k", Value: long, Position: 1}}, Next: 2})
-		pass()
-		source.Merge(Batch{Records: []Record{{Key: "k", Value: append([]byte("new"), long...), Position: 2}}, Next: 3})
-		pass()
+		source.Merge(Batch{Snapshot: true, Records: []Record{{Key: "k", Value: largeValue}}, Next: 1})
+		followOnce()
+		source.Merge(Batch{Records: []Record{{Key: "k", Value: largeValue, Position: 1}}, Next: 2})
+		followOnce()
+		source.Merge(Batch{Records: []Record{{Key: "k", Value: append([]byte("new"), largeValue...), Position: 2}}, Next: 3})
+		followOnce()
 	})
 })
--- a/internal/records/origin.go
+++ b/internal/records/origin.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// origin says where this process's newest records come from.
+// origin is the process that read this process's newest records from the store.
 type origin struct {
 	self string
 	now  func() time.Time
 
 	mu sync.Mutex
-	// address is the process that has read them from the store. It keeps two processes from following each other: each
-	// would hand on what it has from the other, ever older.
+	// address is that process. Followers refuse a source whose origin is themselves: two processes that follow each
+	// other would exchange ever older records.
 	address string
-	// own is when this process last read the store itself.
-	own time.Time
+	// storeReadAt is when this process itself last read the store.
+	storeReadAt time.Time
 }
 
-// newOrigin makes the origin of a process that has read nothing yet.
+// newOrigin returns the origin of a process that has read nothing yet.
 func newOrigin(self string, now func() time.Time) *origin {
-	return &origin{self: self, now: now, own: now()}
+	return &origin{self: self, now: now, storeReadAt: now()}
 }
 
-// setOwn notes that this process has read the store.
-func (o *origin) setOwn() {
+// setFromStore notes that this process itself has read the store.
+func (o *origin) setFromStore() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.address, o.own = o.self, o.now()
+	o.address, o.storeReadAt = o.self, o.now()
 }
 
-// set notes that the records come from another process.
+// set notes the origin of records that come from another process.
 func (o *origin) set(address string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -43,8 +43,8 @@
 	return o.address
 }
 
-func (o *origin) ownAt() time.Time {
+func (o *origin) lastStoreRead() time.Time {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.own
+	return o.storeReadAt
 }
--- a/internal/records/outage_test.go
+++ b/internal/records/outage_test.go
@@ -17,30 +17,30 @@
 	"github.com/springrail/springrail/internal/platform"
 )
 
-// link carries answers of the store to the processes of one failure domain, which share it.
+// link simulates the network link to the store that the processes of one failure domain share.
 type link struct {
 	mu sync.Mutex
 	// perSecond is its rate in bytes.
 	perSecond int
-	// long counts the long answers.
-	long int
+	// largeAnswers counts the large answers.
+	largeAnswers int
 }
 
-// longFrom is the size of a long answer, in bytes.
-const longFrom = 100 << 10
+// largeAnswerBytes is the size from which on an answer counts as large.
+const largeAnswerBytes = 100 << 10
 
-// linkPiece is what is sent at a time; those who share the link take turns.
-const linkPiece = 32 << 10
+// linkChunk is the size sent at a time, so that concurrent transfers share the link.
+const linkChunk = 32 << 10
 
-// carry brings an answer over the link, and tells of its progress.
-func (l *link) carry(ctx context.Context, bytes int, progress Progress) error {
-	if bytes >= longFrom {
+// transfer sends an answer over the link, and reports its progress.
+func (l *link) transfer(ctx context.Context, bytes int, progress Progress) error {
+	if bytes >= largeAnswerBytes {
 		l.mu.Lock()
-		l.long++
+		l.largeAnswers++
 		l.mu.Unlock()
 	}
 	for bytes > 0 && ctx.Err() == nil {
-		n := min(bytes, linkPiece)
+		n := min(bytes, linkChunk)
 		l.mu.Lock()
 		time.Sleep(time.Duration(n) * time.Second / time.Duration(l.perSecond))
 		l.mu.Unlock()
@@ -50,55 +50,56 @@
 	return ctx.Err()
 }
 
-func (l *link) counted() int {
+func (l *link) largeAnswerCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.long
+	return l.largeAnswers
 }
 
 // domain is a failure domain's processes behind one link to the store.
 type domain struct {
 	store *fakeStore
 	link  *link
-	// way is the store over the link.
-	way       Store
-	processes []*process
-	byName    map[string]*process
-	gateways  []string
-	mu        sync.Mutex
-	// hung are processes that answer nobody and get no answer of the store, and away those that the store turns away.
-	hung map[string]chan struct{}
-	away map[string]bool
-	// questions counts those that processes ask each other.
-	questions int
+	// linkedStore is the store as reached over the link.
+	linkedStore Store
+	processes   []*process
+	byName      map[string]*process
+	gateways    []string
+	mu          sync.Mutex
+	// frozen holds processes that answer nobody and get no answer from the store, and rejected those that the store
+	// refuses.
+	frozen   map[string]chan struct{}
+	rejected map[string]bool
+	// requests counts the requests between processes.
+	requests int
 }
 
-// newDomain makes a domain of processes; size is that of a configuration in bytes, which the link carries in a time.
-func newDomain(gateways, stagers, size int, carried time.Duration) *domain {
+// newDomain starts the processes of a domain. The link transfers a configuration of the given size in the given time.
+func newDomain(gateways, stagers, size int, transferTime time.Duration) *domain {
 	d := &domain{
-		store: &fakeStore{logs: map[string][]Record{}}, byName: map[string]*process{}, hung: map[string]chan struct{}{}, away: map[string]bool{},
-		link: &link{perSecond: int(float64(size) / carried.Seconds())},
+		store: &fakeStore{logs: map[string][]Record{}}, byName: map[string]*process{}, frozen: map[string]chan struct{}{}, rejected: map[string]bool{},
+		link: &link{perSecond: int(float64(size) / transferTime.Seconds())},
 	}
 	inner := d.store.store()
-	d.way = Store{
+	d.linkedStore = Store{
 		Snapshot: func(ctx context.Context, topic string, progress Progress) ([]Record, id.Position, error) {
 			l, next, err := inner.Snapshot(ctx, topic, progress)
 			if err == nil {
-				err = d.link.carry(ctx, bytesOf(l), progress)
+				err = d.link.transfer(ctx, bytesOf(l), progress)
 			}
-			return l, next, d.lost(err)
+			return l, next, d.answerError(err)
 		},
 		Read: func(ctx context.Context, topic string, from id.Position, wait time.Duration) (ReadResult, error) {
 			a, err := inner.Read(ctx, topic, from, wait)
 			if err == nil {
-				err = d.link.carry(ctx, bytesOf(a.Records), func(int) {})
+				err = d.link.transfer(ctx, bytesOf(a.Records), func(int) {})
 			}
-			return a, d.lost(err)
+			return a, d.answerError(err)
 		},
 		Probe: inner.Probe,
 	}
-	d.configure(size)
-	d.store.put("up", "10.0.0.1:8000", serving)
+	d.writeConfig(size)
+	d.store.write("up", "10.0.0.1:8000", servingWeights)
 	for i := range gateways {
 		d.gateways = append(d.gateways, fmt.Sprintf("10.0.0.%d:7700", 100+i))
 	}
@@ -118,8 +119,8 @@
 	return n
 }
 
-// lost is the error of an answer that the store did not bring to its end.
-func (d *domain) lost(err error) error {
+// answerError returns the error of an answer that the store did not complete.
+func (d *domain) answerError(err error) error {
 	d.store.mu.Lock()
 	defer d.store.mu.Unlock()
 	if err != nil || d.store.down {
@@ -128,57 +129,58 @@
 	return nil
 }
 
-// configure writes a configuration of a size; it is named by the size of the log.
-func (d *domain) configure(size int) string {
+// writeConfig writes a configuration of the given size, and returns its name, which has the number of records written
+// before.
+func (d *domain) writeConfig(size int) string {
 	d.store.mu.Lock()
 	name := fmt.Sprintf("config %d ", len(d.store.logs["op"]))
 	d.store.mu.Unlock()
-	d.store.put("op", "config", name+strings.Repeat("x", size))
+	d.store.write("op", "config", name+strings.Repeat("x", size))
 	return name
 }
 
-// add makes a process that knows the gateways of its domain.
+// add starts a process that knows the gateways of its domain.
 func (d *domain) add(name string, wait time.Duration) {
-	way := d.way
-	way.Probe = func(ctx context.Context, topic string, from id.Position) error {
-		if d.turnsAway(ctx, name) {
+	storeCalls := d.linkedStore
+	storeCalls.Probe = func(ctx context.Context, topic string, from id.Position) error {
+		if d.rejects(ctx, name) {
 			return platform.ErrRateLimited
 		}
-		return d.way.Probe(ctx, topic, from)
+		return d.linkedStore.Probe(ctx, topic, from)
 	}
-	way.Read = func(ctx context.Context, topic string, from id.Position, wait time.Duration) (ReadResult, error) {
-		if d.turnsAway(ctx, name) {
+	storeCalls.Read = func(ctx context.Context, topic string, from id.Position, wait time.Duration) (ReadResult, error) {
+		if d.rejects(ctx, name) {
 			return ReadResult{}, platform.ErrRateLimited
 		}
-		return d.way.Read(ctx, topic, from, wait)
+		return d.linkedStore.Read(ctx, topic, from, wait)
 	}
-	way.Snapshot = func(ctx context.Context, topic string, progress Progress) ([]Record, id.Position, error) {
-		if d.turnsAway(ctx, name) {
+	storeCalls.Snapshot = func(ctx context.Context, topic string, progress Progress) ([]Record, id.Position, error) {
+		if d.rejects(ctx, name) {
 			return nil, 0, platform.ErrRateLimited
 		}
-		if err := d.pass(ctx, name); err != nil {
+		if err := d.waitWhileFrozen(ctx, name); err != nil {
 			return nil, 0, err
 		}
-		return d.way.Snapshot(ctx, topic, func(n int) {
-			if d.pass(ctx, name) == nil {
+		return d.linkedStore.Snapshot(ctx, topic, func(n int) {
+			if d.waitWhileFrozen(ctx, name) == nil {
 				progress(n)
 			}
 		})
 	}
-	p := newProcessWith(name, wait, way, func(ctx context.Context, address string, q *pb.FollowRequest) (*pb.FollowResponse, error) {
+	p := newProcessWith(name, wait, storeCalls, func(ctx context.Context, address string, q *pb.FollowRequest) (*pb.FollowResponse, error) {
 		d.mu.Lock()
-		d.questions++
+		d.requests++
 		to := d.byName[address]
 		d.mu.Unlock()
 		if to == nil {
 			return nil, platform.ErrUnavailable
 		}
-		if err := d.pass(ctx, address); err != nil {
+		if err := d.waitWhileFrozen(ctx, address); err != nil {
 			return nil, err
 		}
 		a, err := to.service.Follow(ctx, q)
-		if passed := d.pass(ctx, address); passed != nil {
-			return nil, passed
+		if frozenErr := d.waitWhileFrozen(ctx, address); frozenErr != nil {
+			return nil, frozenErr
 		}
 		return a, err
 	}, func(ctx context.Context, p *process) {
@@ -195,10 +197,10 @@
 	d.processes = append(d.processes, p)
 }
 
-// pass waits while a process is frozen.
-func (d *domain) pass(ctx context.Context, name string) error {
+// waitWhileFrozen returns once a process is not frozen.
+func (d *domain) waitWhileFrozen(ctx context.Context, name string) error {
 	d.mu.Lock()
-	c := d.hung[name]
+	c := d.frozen[name]
 	d.mu.Unlock()
 	if c == nil {
 		return nil
@@ -211,40 +213,40 @@
 	}
 }
 
-// turnAway lets the store turn processes away.
-func (d *domain) turnAway(names []string) {
+// reject makes the store refuse processes.
+func (d *domain) reject(names []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, n := range names {
-		d.away[n] = true
+		d.rejected[n] = true
 	}
 }
 
-// turnsAway says whether the store turns a process away, after the time that its answer takes.
-func (d *domain) turnsAway(ctx context.Context, name string) bool {
-	kernel.Pause(ctx, storeTakes)
+// rejects reports whether the store refuses a process, after the store's latency.
+func (d *domain) rejects(ctx context.Context, name string) bool {
+	kernel.Pause(ctx, storeLatency)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.away[name]
+	return d.rejected[name]
 }
 
-// storeTakes is the time of a short answer of the store.
-const storeTakes = 5 * time.Millisecond
+// storeLatency is the time that the store takes for a short answer.
+const storeLatency = 5 * time.Millisecond
 
 // freeze stops a process until the end of the spec.
 func (d *domain) freeze(name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c := make(chan struct{})
-	d.hung[name] = c
+	d.frozen[name] = c
 	DeferCleanup(func() { close(c) })
 }
 
-// have says how many processes that are not frozen lack a configuration.
-func (d *domain) lack(config string) (n int) {
+// lacking returns how many processes that are not frozen lack a configuration.
+func (d *domain) lacking(config string) (n int) {
 	for _, p := range d.processes {
 		d.mu.Lock()
-		frozen := d.hung[p.name] != nil
+		frozen := d.frozen[p.name] != nil
 		d.mu.Unlock()
 		if !frozen && !strings.HasPrefix(p.value("config"), config) {
 			n++
@@ -253,107 +255,109 @@
 	return n
 }
 
-// asked is the number of questions since the last call.
-func (d *domain) asked() int {
+// takeRequests returns the number of requests since the last call.
+func (d *domain) takeRequests() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n := d.questions
-	d.questions = 0
+	n := d.requests
+	d.requests = 0
 	return n
 }
 
 const (
-	// longRecord is a configuration of the users' in bytes, and longTakes what it takes on a link of 24 Mbit/s.
-	longRecord = 358694
-	longTakes  = 120 * time.Millisecond
+	// configBytes is the size of a configuration as users have it, and configTransfer its transfer time on a 24 Mbit/s
+	// link.
+	configBytes    = 358694
+	configTransfer = 120 * time.Millisecond
 )
 
-// The store was away from a failure domain for eight seconds, came back, and was lost again for a second. Four gateways
-// and more then read the operators' records at the same time over the link that they share, 2.6 to 3.4 s each where one
-// reading takes 0.12 s, and refused requests by the older configuration. Each had waited its turn, and all turns had
-// long been over when the store came back.
+// Guards against concurrent snapshots after an outage. The store was unavailable to a failure domain for eight seconds,
+// and again for a second. Four or more gateways then read the operators' records at the same time over their shared
+// link, in 2.6 to 3.4 s each instead of 0.12 s, and refused requests by the older configuration. Their takeover delays
+// had all expired during the outage.
 var _ = Describe("a failure domain after an outage of the store", func() {
-	It("reads a long record once, and has it everywhere within two seconds, also where the store is lost again at once", func() {
-		d := newDomain(12, 15, longRecord, longTakes)
-		Eventually(func() int { return d.lack("config 0 ") }).WithTimeout(20 * time.Second).Should(BeZero())
+	It("reads a large record once, and all processes have it within two seconds, even if the store is lost again at once", func() {
+		d := newDomain(12, 15, configBytes, configTransfer)
+		Eventually(func() int { return d.lacking("config 0 ") }).WithTimeout(20 * time.Second).Should(BeZero())
 		time.Sleep(2 * time.Second)
 		d.store.setDown(true)
 		time.Sleep(4 * time.Second)
-		d.asked()
+		d.takeRequests()
 		time.Sleep(4 * time.Second)
-		Expect(d.asked()).To(BeNumerically("<", 3*4*len(d.processes)), "questions while no one has the store")
-		config := d.configure(longRecord)
-		before := d.link.counted()
+		Expect(d.takeRequests()).To(BeNumerically("<", 3*4*len(d.processes)), "requests while no process reaches the store")
+		config := d.writeConfig(configBytes)
+		before := d.link.largeAnswerCount()
 		d.store.setDown(false)
 		time.Sleep(200 * time.Millisecond)
 		d.store.setDown(true)
 		time.Sleep(time.Second)
 		d.store.setDown(false)
-		Eventually(func() int { return d.lack(config) }).WithTimeout(2 * time.Second).WithPolling(20 * time.Millisecond).Should(BeZero())
-		long := d.link.counted()
-		Expect(long-before).To(BeNumerically("<=", 3), "one is lost with the store, and one is taken over at the most")
+		Eventually(func() int { return d.lacking(config) }).WithTimeout(2 * time.Second).WithPolling(20 * time.Millisecond).Should(BeZero())
+		large := d.link.largeAnswerCount()
+		Expect(large-before).To(BeNumerically("<=", 3), "one is lost with the store, and at most one is taken over")
 	})
 
-	// A key was taken away 0.7 s after the store had begun to turn a third of the machines away. Those that go first
-	// claimed the turn again and again and were turned away; each time the others took that for a source that reads,
-	// and began to wait for their own turn anew. A gateway still let the key in 3.1 s after the change was
-	// acknowledged.
+	// Guards against refused processes that hold up the others. The store refused a third of the VMs, and a key was
+	// removed 0.7 s later. The first in the order requested the lease again and again; the others took each request for
+	// a source that reads, and started their takeover delays anew. A gateway accepted the key 3.1 s after the removal
+	// was acknowledged.
 	It("has another one read where the store turns those away that go first", func() {
-		d := newDomain(12, 15, longRecord, longTakes)
-		Eventually(func() int { return d.lack("config 0 ") }).WithTimeout(20 * time.Second).Should(BeZero())
+		d := newDomain(12, 15, configBytes, configTransfer)
+		Eventually(func() int { return d.lacking("config 0 ") }).WithTimeout(20 * time.Second).Should(BeZero())
 		time.Sleep(2 * time.Second)
 		order, _ := Sources("d", d.gateways, "")
-		d.turnAway(order[:5])
+		d.reject(order[:5])
 		time.Sleep(700 * time.Millisecond)
-		config := d.configure(longRecord)
-		Eventually(func() int { return d.lack(config) }).WithTimeout(2 * time.Second).WithPolling(20 * time.Millisecond).Should(BeZero())
+		config := d.writeConfig(configBytes)
+		Eventually(func() int { return d.lacking(config) }).WithTimeout(2 * time.Second).WithPolling(20 * time.Millisecond).Should(BeZero())
 	})
 
-	It("has another one read where the reader freezes in its reading", func() {
-		d := newDomain(12, 15, longRecord, longTakes)
-		Eventually(func() int { return d.lack("config 0 ") }).WithTimeout(20 * time.Second).Should(BeZero())
+	It("has another process read if the reader freezes during a snapshot", func() {
+		d := newDomain(12, 15, configBytes, configTransfer)
+		Eventually(func() int { return d.lacking("config 0 ") }).WithTimeout(20 * time.Second).Should(BeZero())
 		time.Sleep(2 * time.Second)
 		d.store.setDown(true)
 		time.Sleep(4 * time.Second)
-		config := d.configure(longRecord)
-		before := d.link.counted()
+		config := d.writeConfig(configBytes)
+		before := d.link.largeAnswerCount()
 		d.store.setDown(false)
 		var reader string
 		Eventually(func() string {
 			for _, p := range d.processes {
-				if p.reads() {
+				if p.readsSnapshot() {
 					reader = p.name
 				}
 			}
 			return reader
 		}).WithTimeout(2 * time.Second).WithPolling(2 * time.Millisecond).ShouldNot(BeEmpty())
 		d.freeze(reader)
-		Eventually(func() int { return d.lack(config) }).WithTimeout(3 * time.Second).WithPolling(20 * time.Millisecond).Should(BeZero())
-		long := d.link.counted()
-		Expect(long - before).To(BeNumerically("<=", 3))
+		Eventually(func() int { return d.lacking(config) }).WithTimeout(3 * time.Second).WithPolling(20 * time.Millisecond).Should(BeZero())
+		large := d.link.largeAnswerCount()
+		Expect(large - before).To(BeNumerically("<=", 3))
 	})
 })
 
-// A version named while the store was away was counted from before that, as the process had only looked whether the
-// store was back: older versions were over seconds early, and a domain refused 300 requests in half a second.
-var _ = Describe("a record that was written while the store was away", func() {
-	It("is dated by the store's return, by a process that has only looked for that since its source lost the store", func() {
+// Guards against a date before the outage. A process that had only probed the store dated a version published during
+// the outage by its last read before. The time of older versions ended seconds too early, and a domain refused 300
+// requests in half a second.
+var _ = Describe("a record that was written during an outage of the store", func() {
+	It("is dated by the end of the outage, by a process that has only probed the store since its source lost it", func() {
 		s := &fakeStore{logs: map[string][]Record{}}
-		s.put("op", "config", "1")
-		s.put("up", "u", "here")
-		lead, end := newProcess("a", s, nobody)
+		s.write("op", "config", "1")
+		s.write("up", "u", "here")
+		leader, stopLeader := newProcess("a", s, noPeers)
 		var mu sync.Mutex
 		var after time.Time
-		var looked time.Time
+		var firstProbe time.Time
 		store := s.store()
-		answers := store.Probe
+		probe := store.Probe
 		store.Probe = func(ctx context.Context, topic string, from id.Position) error {
 			mu.Lock()
 			defer mu.Unlock()
-			if looked.IsZero() {
-				looked = time.Now()
+			if firstProbe.IsZero() {
+				firstProbe = time.Now()
 			}
-			return answers(ctx, topic, from)
+			return probe(ctx, topic, from)
 		}
 		f := facts.New(time.Now)
 		p := New(&Settings{ConfigWait: 50 * time.Millisecond, ListEvery: 20 * time.Millisecond}, &Platform{
@@ -367,12 +371,12 @@
 				return nil
 			}},
 			Upstreams: Topic{Name: "up", Apply: func(Record) error { return nil }, KeysAreUpstreams: true},
-		}, f, "d", "self", time.Now, quiet)
+		}, f, "d", "self", time.Now, silentLogger)
 		p.follower.ask = func(ctx context.Context, address string, q *pb.FollowRequest) (*pb.FollowResponse, error) {
 			if address != "a" {
 				return nil, platform.ErrUnavailable
 			}
-			return lead.service.Follow(ctx, q)
+			return leader.service.Follow(ctx, q)
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		DeferCleanup(stop)
@@ -380,54 +384,55 @@
 			for ctx.Err() == nil {
 				f.NoteGateway("a")
 				for n := range 40 {
-					// So many take over before it that it begins to look only once its records are old.
+					// These take precedence, so the process starts to probe the store only once its records are old.
 					f.NoteGateway(fmt.Sprint("gone-", n))
 				}
 				kernel.Pause(ctx, time.Second)
 			}
 		}()
 		go func() { _ = p.Run(ctx) }()
-		Eventually(func() bool { return p.follower.started() && p.follower.origin.get() == "a" }).WithTimeout(5 * time.Second).Should(BeTrue())
-		Expect(p.follower.rank()).To(Equal(takeoverMost))
+		Eventually(func() bool { return p.follower.allRead() && p.follower.origin.get() == "a" }).WithTimeout(5 * time.Second).Should(BeTrue())
+		Expect(p.follower.takeoverRank()).To(Equal(maxTakeoverRank))
 		time.Sleep(200 * time.Millisecond)
 		s.setDown(true)
-		time.Sleep(freshMost + takeoverMost*takeoverStep + time.Second)
-		s.put("op", "version", "2")
-		end()
-		back := time.Now()
+		time.Sleep(maxFreshAge + maxTakeoverRank*takeoverStep + time.Second)
+		s.write("op", "version", "2")
+		stopLeader()
+		outageEnded := time.Now()
 		s.setDown(false)
-		dated := func() time.Time {
+		dateOfRecord := func() time.Time {
 			mu.Lock()
 			defer mu.Unlock()
 			return after
 		}
-		Eventually(dated).WithTimeout(2 * takeoverMost * retryPause).ShouldNot(BeZero())
-		// The store may have been back ever since the last look in vain; the first one came about a second before.
+		Eventually(dateOfRecord).WithTimeout(2 * maxTakeoverRank * retryPause).ShouldNot(BeZero())
+		// The store may have been available since the last failed probe. The first probe was made about a second
+		// before.
 		mu.Lock()
-		first := looked
+		probedAt := firstProbe
 		mu.Unlock()
-		Expect(first).To(BeTemporally("~", back.Add(-time.Second), 500*time.Millisecond))
-		Expect(dated()).To(And(BeTemporally(">=", first.Add(-50*time.Millisecond)), BeTemporally("<=", back)))
+		Expect(probedAt).To(BeTemporally("~", outageEnded.Add(-time.Second), 500*time.Millisecond))
+		Expect(dateOfRecord()).To(And(BeTemporally(">=", probedAt.Add(-50*time.Millisecond)), BeTemporally("<=", outageEnded)))
 	})
 })
 
-// All processes of a domain started at once after a loss of power. Nobody knew anybody yet, and each read 358 KB over
-// one link, 1.3 to 2.1 s.
+// Guards against concurrent snapshots at a joint start. After a power failure no process knew any other, and each read
+// 358 KB over one link, in 1.3 to 2.1 s.
 var _ = Describe("processes that start together", func() {
-	// together starts processes of one failure domain that know nobody but the seeds of their settings, and returns the number of
-	// long readings until all have the configuration.
+	// together starts n processes of one failure domain that know only the configured seeds, and returns the number of
+	// large answers until all have the configuration.
 	together := func(n int, seedDomain string, seeds ...string) int {
 		s := &fakeStore{logs: map[string][]Record{}}
-		s.put("op", "config", "1 "+strings.Repeat("x", longRecord))
-		s.put("up", "u", "here")
-		l := &link{perSecond: int(longRecord / longTakes.Seconds())}
-		way := s.store()
-		way.Snapshot = func(ctx context.Context, topic string, progress Progress) ([]Record, id.Position, error) {
+		s.write("op", "config", "1 "+strings.Repeat("x", configBytes))
+		s.write("up", "u", "here")
+		l := &link{perSecond: int(configBytes / configTransfer.Seconds())}
+		storeCalls := s.store()
+		storeCalls.Snapshot = func(ctx context.Context, topic string, progress Progress) ([]Record, id.Position, error) {
 			r, next, err := s.store().Snapshot(ctx, topic, progress)
 			if err != nil {
 				return nil, 0, err
 			}
-			return r, next, l.carry(ctx, bytesOf(r), progress)
+			return r, next, l.transfer(ctx, bytesOf(r), progress)
 		}
 		var mu sync.Mutex
 		byName := map[string]*Records{}
@@ -443,8 +448,8 @@
 		add := func(name, domain string) *Records {
 			apply := func(Record) error { return nil }
 			r := New(&Settings{ConfigWait: 50 * time.Millisecond, ListEvery: 20 * time.Millisecond, Seeds: seeds}, &Platform{
-				Store: way, Operators: Topic{Name: "op", Apply: apply}, Upstreams: Topic{Name: "up", Apply: apply, KeysAreUpstreams: true},
-			}, facts.New(time.Now), id.Domain(domain), name, time.Now, quiet)
+				Store: storeCalls, Operators: Topic{Name: "op", Apply: apply}, Upstreams: Topic{Name: "up", Apply: apply, KeysAreUpstreams: true},
+			}, facts.New(time.Now), id.Domain(domain), name, time.Now, silentLogger)
 			r.follower.ask = ask
 			mu.Lock()
 			defer mu.Unlock()
@@ -462,20 +467,20 @@
 			go func() { _ = r.Run(ctx) }()
 		}
 		for _, r := range all {
-			Eventually(r.follower.started).WithTimeout(10 * time.Second).Should(BeTrue())
+			Eventually(r.follower.allRead).WithTimeout(10 * time.Second).Should(BeTrue())
 		}
-		return l.counted()
+		return l.largeAnswerCount()
 	}
 
-	It("each read a long record where they know nobody", func() {
+	It("each read a large record if they know no other process", func() {
 		Expect(together(10, "d")).To(Equal(10))
 	})
 
-	It("read it once where they know one of them, whatever the port that the settings name", func() {
+	It("read it once if one of them is a seed, whatever the port in the settings", func() {
 		Expect(together(10, "d", "10.0.9.1:8000")).To(BeNumerically("<=", 2))
 	})
 
-	It("read it once where they know only a process of another failure domain", func() {
+	It("read it once if the seed is of another failure domain", func() {
 		Expect(together(10, "e", "10.0.9.1:8000")).To(BeNumerically("<=", 2))
 	})
 })
--- a/internal/records/pack.go
+++ b/internal/records/pack.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// packFrom is the size in bytes from which on a value is compressed. A configuration with 1,600 routes has 600 KB, a
-	// quarter of that compressed, and goes to 38 processes over a link of 40 Mbit/s; one that follows it differs by some
-	// hundred bytes.
-	packFrom = 4 << 10
-	// unpackMost bounds what a compressed value may become, in bytes.
-	unpackMost = 16 << 20
-	// baseID names the value that a patch builds on; a message holds one patch of a key.
-	baseID = 1
+	// compressThreshold is the size in bytes from which on a value is compressed. A configuration with 1,600 routes has
+	// 600 KB, a quarter of that compressed, and goes to 38 processes over a 40 Mbit/s link; a patch of the previous one
+	// has some hundred bytes.
+	compressThreshold = 4 << 10
+	// maxUnpackedBytes bounds the size of a decompressed value.
+	maxUnpackedBytes = 16 << 20
+	// patchDictID is the zstd dictionary ID of the value that a patch refers to. One ID is enough, as a message holds
+	// one patch of a key.
+	patchDictID = 1
 )
 
-// pack compresses a value, building on a base where there is one.
-func pack(value, base []byte) ([]byte, error) {
+// compress compresses a value, as a patch of base if that is not nil.
+func compress(value, base []byte) ([]byte, error) {
 	o := []zstd.EOption{zstd.WithEncoderConcurrency(1), zstd.WithEncoderCRC(true)}
 	if base != nil {
-		o = append(o, zstd.WithEncoderDictRaw(baseID, base))
+		o = append(o, zstd.WithEncoderDictRaw(patchDictID, base))
 	}
 	e, err := zstd.NewWriter(nil, o...)
 	if err != nil {
@@ -30,11 +31,11 @@
 	return e.EncodeAll(value, nil), nil
 }
 
-// unpack undoes pack.
-func unpack(packed, base []byte) ([]byte, error) {
-	o := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(unpackMost)}
+// decompress reverses compress, with the same base.
+func decompress(packed, base []byte) ([]byte, error) {
+	o := []zstd.DOption{zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxUnpackedBytes)}
 	if base != nil {
-		o = append(o, zstd.WithDecoderDictRaw(baseID, base))
+		o = append(o, zstd.WithDecoderDictRaw(patchDictID, base))
 	}
 	d, err := zstd.NewReader(nil, o...)
 	if err != nil {
--- a/internal/records/part.go
+++ b/internal/records/part.go
@@ -20,27 +20,27 @@
 	"github.com/springrail/springrail/internal/traffic"
 )
 
-// PartName is what other parts name in their needs.
+// PartName is the name by which other parts require this one.
 const PartName = "records"
 
-// topics is the number of topics that are followed.
-const topics = 2
+// topicCount is the number of topics that are followed.
+const topicCount = 2
 
-// mostQuestion bounds a follower's question in bytes; one names two topics.
-const mostQuestion = 4 << 10
+// maxRequestBytes bounds a follower's request, which names two topics.
+const maxRequestBytes = 4 << 10
 
 // Settings is the section [records].
 type Settings struct {
-	// ConfigWait is how long one read for configuration waits at the store.
+	// ConfigWait is how long a read of the operators' records waits at the store for a change.
 	ConfigWait time.Duration `toml:"config_wait"`
-	// ListEvery is how often the list of upstreams is read. They write about once a second each, so that a read that
-	// waits would come back at once.
+	// ListEvery is how often the list of upstreams is read. Upstreams write about once a second each, so a read that
+	// waits for a change would return at once.
 	ListEvery time.Duration `toml:"list_every"`
-	// StartWait is how long a new process waits for a gateway of its failure domain to make itself known before it asks the
-	// store.
+	// StartWait is how long a new process waits for a gateway of its failure domain to announce itself before it asks
+	// the store.
 	StartWait time.Duration `toml:"start_wait"`
-	// Seeds are addresses of some processes of any failure domain, of which the hosts count; the port is that of this
-	// process. Those that start together learn of each other from them, and go on without where none answers.
+	// Seeds are addresses of some processes of any failure domain. Only their hosts are used, with the port of this
+	// process. Processes that start together learn of each other from the seeds; if no seed answers they start without.
 	Seeds []string `toml:"seeds"`
 }
 
@@ -70,13 +70,13 @@
 			s.follower.ask = func(ctx context.Context, address string, q *pb.FollowRequest) (*pb.FollowResponse, error) {
 				return r.Records(address).Follow(ctx, q)
 			}
-			r.Handle(springrailv1connect.NewRecordServiceHandler(s.service, connect.WithReadMaxBytes(mostQuestion)))
+			r.Handle(springrailv1connect.NewRecordServiceHandler(s.service, connect.WithReadMaxBytes(maxRequestBytes)))
 			t := h.Part(traffic.PartName).(*traffic.Part).Counter
 			r.Count(t)
 			for _, one := range s.readers {
-				one.asked = func(reason string) { t.Call("reading of "+one.log.topic.Name, reason) }
+				one.onRequest = func(reason string) { t.Call("reading of "+one.log.topic.Name, reason) }
 			}
-			h.Metric("records", s.follower.vars)
+			h.Metric("records", s.follower.metrics)
 			return s, nil
 		},
 	})
@@ -89,54 +89,54 @@
 	service  *Service
 }
 
-// New makes the records of a process; self is the address under which others follow it.
+// New returns the records of a process; self is the address under which others follow it.
 func New(s *Settings, p *Platform, f *facts.Facts, d id.Domain, self string, now func() time.Time, l *log.Logger) *Records {
 	operators, upstreams := NewLog(p.Operators, f, now, l), NewLog(p.Upstreams, f, now, l)
 	upstreams.epoch = operators.epoch
 	logs := []*Log{operators, upstreams}
 	for _, one := range logs {
-		one.turn = newTurn(self, d, now)
+		one.lease = newReadLease(self, d, now)
 	}
-	t := newHint(now)
-	g, long := &gate{}, &gate{}
-	g.set(s.StartWait == 0)
-	long.set(false)
-	vars := new(expvar.Map)
-	vars.Set("age_ms", expvar.Func(func() any {
+	t := newSourceHint(now)
+	upstreamsGate, operatorsGate := &gate{}, &gate{}
+	upstreamsGate.set(s.StartWait == 0)
+	operatorsGate.set(false)
+	metrics := new(expvar.Map)
+	metrics.Set("age_ms", expvar.Func(func() any {
 		return map[string]int64{"operators": operators.Age().Milliseconds(), "upstreams": upstreams.Age().Milliseconds()}
 	}))
-	vars.Set("position", expvar.Func(func() any {
+	metrics.Set("position", expvar.Func(func() any {
 		o, _ := operators.Position()
 		u, _ := upstreams.Position()
 		return map[string]string{"operators": o.String(), "upstreams": u.String()}
 	}))
-	vars.Set("skipped", expvar.Func(func() any {
+	metrics.Set("skipped", expvar.Func(func() any {
 		return map[string]int64{"operators": operators.skipped.Value(), "upstreams": upstreams.skipped.Value()}
 	}))
 	o := newOrigin(self, now)
 	w := &Follower{
-		logs: logs, gate: g, long: long, origin: o, peers: peers(f, d, self), self: self, domain: d, gateways: f.Gateways, now: now, log: l, vars: vars,
-		blamed: map[string]time.Time{}, behind: map[string]time.Time{}, lacking: map[string]time.Time{}, wholeAgain: map[string]time.Time{}, startUntil: now().Add(s.StartWait), hint: t, seeds: withPortOf(self, s.Seeds),
+		logs: logs, upstreamsGate: upstreamsGate, operatorsGate: operatorsGate, origin: o, peers: peers(f, d, self), self: self, domain: d, gateways: f.Gateways, now: now, log: l, metrics: metrics,
+		avoidUntil: map[string]time.Time{}, followsThisUntil: map[string]time.Time{}, withoutStoreUntil: map[string]time.Time{}, nextSnapshotAt: map[string]time.Time{}, startUntil: now().Add(s.StartWait), hint: t, seeds: withPortOf(self, s.Seeds),
 	}
 	return &Records{
 		readers: []*Reader{
-			{store: &p.Store, log: operators, facts: f, gate: long, now: now, own: o.setOwn, tryPause: w.tryPause, claim: w.claim, look: upstreams, wait: s.ConfigWait},
-			{store: &p.Store, log: upstreams, facts: f, gate: g, now: now, own: o.setOwn, tryPause: w.tryPause, claim: w.claim, look: upstreams, pause: s.ListEvery},
+			{store: &p.Store, log: operators, facts: f, gate: operatorsGate, now: now, onStoreRead: o.setFromStore, backoff: w.storeBackoff, requestLease: w.requestLease, probeLog: upstreams, wait: s.ConfigWait},
+			{store: &p.Store, log: upstreams, facts: f, gate: upstreamsGate, now: now, onStoreRead: o.setFromStore, backoff: w.storeBackoff, requestLease: w.requestLease, probeLog: upstreams, pause: s.ListEvery},
 		},
 		follower: w,
 		service: &Service{
-			logs: logs, origin: o, hint: t, domain: d, elsewhere: &elsewhere{now: now, of: map[elsewhereTopic]rivals{}},
+			logs: logs, origin: o, hint: t, domain: d, remoteRequests: &remoteRequests{now: now, byTopic: map[remoteTopic]requesters{}},
 		},
 	}
 }
 
-// withPortOf puts the port of an address on the hosts of others.
-func withPortOf(self string, others []string) (l []string) {
+// withPortOf returns the addresses of others with their ports replaced by that of self.
+func withPortOf(self string, addresses []string) (l []string) {
 	_, port, err := net.SplitHostPort(self)
 	if err != nil {
 		return nil
 	}
-	for _, a := range others {
+	for _, a := range addresses {
 		if host, _, err := net.SplitHostPort(a); err == nil {
 			l = append(l, net.JoinHostPort(host, port))
 		}
@@ -144,10 +144,10 @@
 	return l
 }
 
-// peers lists the stagers beside upstreams of a failure domain that serve weights, with the port of this process. These
-// have followed the records for a while, and a process knows them from the list of upstreams alone.
+// peers returns a function that lists the stagers of a failure domain whose upstreams hold weights, with the port of
+// this process. Such a stager has followed the records for some time, and the list of upstreams is enough to find it.
 func peers(f *facts.Facts, d id.Domain, self string) func() []string {
-	own, port, err := net.SplitHostPort(self)
+	selfHost, port, err := net.SplitHostPort(self)
 	if err != nil {
 		return func() []string { return nil }
 	}
@@ -155,7 +155,7 @@
 		var l []string
 		for _, i := range f.Instances() {
 			host, _, err := net.SplitHostPort(i.Address)
-			if err == nil && i.Domain == d && host != own && len(i.Held) > 0 && !i.Leaving {
+			if err == nil && i.Domain == d && host != selfHost && len(i.Held) > 0 && !i.Leaving {
 				l = append(l, net.JoinHostPort(host, port))
 			}
 		}
