--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,5 +1,5 @@
-// Package follow keeps an agent in touch with its home entry: it sends heartbeats and takes configuration, the VM
-// list and turns to swap.
+// Package follow connects an agent to an entry of its failure domain: it sends heartbeats and receives the
+// configuration, the VM list and permits to swap a model.
 package follow
 
 import (
@@ -22,19 +22,19 @@
 	"github.com/springrail/springrail/internal/rpc"
 )
 
-// PartName is what other parts name in their needs.
+// PartName is the name by which other parts require this one.
 const PartName = "follow"
 
 const (
-	// beat is the longest time between two heartbeats.
-	beat = time.Second
-	// retryPause is the wait before another entry is asked.
+	// heartbeatInterval is the longest time between two heartbeats.
+	heartbeatInterval = time.Second
+	// retryPause is the wait before another entry is tried.
 	retryPause = 100 * time.Millisecond
-	// listRetry is how often the VM list is read while no entry answers.
-	listRetry = time.Second
+	// listRetryInterval is how often the VM list is read from the platform while no entry is known.
+	listRetryInterval = time.Second
 )
 
-// Settings is the section [vm]: how this VM stands in the platform's list.
+// Settings is the section [vm]: how this VM is listed on the platform.
 type Settings struct {
 	Pool    string   `toml:"pool"`
 	Engine  bool     `toml:"engine"`
@@ -67,41 +67,44 @@
 	})
 }
 
-// Follower is an agent's tie to its home entry.
+// Follower sends heartbeats to an entry, and keeps the configuration and the VM list that it receives in return.
 type Follower struct {
 	*configlog.Store
+	// List is the VM list as last received.
 	List *membership.List
 
-	self    *pb.VM
-	entries []string
-	rpc     *rpc.Server
-	readVMs func(ctx context.Context) (*pb.VMList, error)
-	log     *log.Logger
+	self        *pb.VM
+	seedEntries []string
+	rpc         *rpc.Server
+	readVMs     func(ctx context.Context) (*pb.VMList, error)
+	log         *log.Logger
 
 	mu     sync.Mutex
 	status *pb.VMStatus
-	poke   chan struct{}
-	failed map[string]time.Time
+	// statusChanged receives a value at each status change.
+	statusChanged chan struct{}
+	// failedAt holds the time of the last failed heartbeat to each entry.
+	failedAt map[string]time.Time
 }
 
-// New makes a Follower. The entries are addresses to ask before a VM list is known.
+// New returns a Follower. The entries are seed addresses, tried after the entries of the VM list.
 func New(self *pb.VM, entries []string, r *rpc.Server, readVMs func(ctx context.Context) (*pb.VMList, error),
 	observe func(t kernel.Time), l *log.Logger,
 ) *Follower {
 	return &Follower{
-		Store: configlog.NewStore(observe), List: membership.NewList(), self: self, entries: entries, rpc: r,
+		Store: configlog.NewStore(observe), List: membership.NewList(), self: self, seedEntries: entries, rpc: r,
 		readVMs: readVMs, log: l,
-		status: &pb.VMStatus{Vm: self, Incarnation: uint64(time.Now().UnixNano())},
-		poke:   make(chan struct{}, 1), failed: map[string]time.Time{},
+		status:        &pb.VMStatus{Vm: self, Incarnation: uint64(time.Now().UnixNano())},
+		statusChanged: make(chan struct{}, 1), failedAt: map[string]time.Time{},
 	}
 }
 
-// Self is this VM as it would stand in the list.
+// Self returns this VM as it appears in the VM list.
 func (f *Follower) Self() *pb.VM {
 	return f.self
 }
 
-// UpdateStatus changes the status that goes out with the next heartbeat and sends that at once.
+// UpdateStatus changes the status that heartbeats carry, and triggers a heartbeat at once.
 func (f *Follower) UpdateStatus(change func(s *pb.VMStatus)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -113,38 +116,38 @@
 	change(next)
 	f.status = next
 	select {
-	case f.poke <- struct{}{}:
+	case f.statusChanged <- struct{}{}:
 	default:
 	}
 }
 
-// Status returns the newest status; do not change it.
+// Status returns the latest status. Callers must not modify it.
 func (f *Follower) Status() *pb.VMStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.status
 }
 
-// Run keeps in touch until the context ends.
+// Run sends heartbeats until the context ends. After a failure it moves on to another entry.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		address, err := f.home(ctx)
+		address, err := f.chooseEntry(ctx)
 		if err == nil {
-			err = f.sync(ctx, address)
+			err = f.sendHeartbeat(ctx, address)
 		}
 		if err == nil || ctx.Err() != nil {
 			continue
 		}
-		f.log.Debug().Err(err).Str("entry", address).Msg("no answer from an entry")
-		f.failed[address] = time.Now()
+		f.log.Debug().Err(err).Str("entry", address).Msg("heartbeat to an entry failed")
+		f.failedAt[address] = time.Now()
 		kernel.Pause(ctx, retryPause)
 	}
 	return nil
 }
 
-// home picks the first entry, in a rendezvous order, that has not failed lately: the own failure domain's first, then
-// the others'.
-func (f *Follower) home(ctx context.Context) (string, error) {
+// chooseEntry returns the first candidate that has not failed within membership.GoneAfter, or else the one that failed
+// longest ago.
+func (f *Follower) chooseEntry(ctx context.Context) (string, error) {
 	if len(f.List.Get().GetVms()) == 0 {
 		if l, err := f.readVMs(ctx); err == nil {
 			f.List.Set(l)
@@ -152,37 +155,39 @@
 	}
 	candidates := f.candidates()
 	if len(candidates) == 0 {
-		kernel.Pause(ctx, listRetry)
+		kernel.Pause(ctx, listRetryInterval)
 		return "", trace.Wrap(platform.ErrUnavailable, "no entry is known")
 	}
 	best := candidates[0]
 	for _, a := range candidates {
-		if time.Since(f.failed[a]) > membership.GoneAfter {
+		if time.Since(f.failedAt[a]) > membership.GoneAfter {
 			return a, nil
 		}
-		if f.failed[a].Before(f.failed[best]) {
+		if f.failedAt[a].Before(f.failedAt[best]) {
 			best = a
 		}
 	}
 	return best, nil
 }
 
+// candidates returns the addresses of the entries to try: those of the own failure domain first, then those of the
+// others, both in rendezvous order, and last the seed entries.
 func (f *Follower) candidates() []string {
-	near, far := []id.VM{}, []id.VM{}
+	local, remote := []id.VM{}, []id.VM{}
 	address := map[id.VM]string{}
 	for _, v := range f.List.Entries("") {
 		address[id.VM(v.GetId())] = v.GetAddress()
 		if v.GetDomain() == f.self.GetDomain() {
-			near = append(near, id.VM(v.GetId()))
+			local = append(local, id.VM(v.GetId()))
 		} else {
-			far = append(far, id.VM(v.GetId()))
+			remote = append(remote, id.VM(v.GetId()))
 		}
 	}
 	var l []string
-	for _, v := range append(rendezvous.Order(f.self.GetId(), near), rendezvous.Order(f.self.GetId(), far)...) {
+	for _, v := range append(rendezvous.Order(f.self.GetId(), local), rendezvous.Order(f.self.GetId(), remote)...) {
 		l = append(l, address[v])
 	}
-	for _, a := range f.entries {
+	for _, a := range f.seedEntries {
 		if !slices.Contains(l, a) {
 			l = append(l, a)
 		}
@@ -190,12 +195,13 @@
 	return l
 }
 
-// sync does one heartbeat. A change of the status ends the long poll early, so that the next one carries it.
-func (f *Follower) sync(ctx context.Context, address string) error {
-	ctx, stop := context.WithTimeout(ctx, beat+dialMargin)
+// sendHeartbeat sends one heartbeat as a long poll. A status change cancels the poll, so that the next heartbeat
+// carries the new status.
+func (f *Follower) sendHeartbeat(ctx context.Context, address string) error {
+	ctx, stop := context.WithTimeout(ctx, heartbeatInterval+callMargin)
 	defer stop()
 	select {
-	case <-f.poke:
+	case <-f.statusChanged:
 	default:
 	}
 	type result struct {
@@ -206,7 +212,7 @@
 	go func() {
 		a, err := f.rpc.Config(address).Sync(ctx, &pb.SyncRequest{
 			Status: f.Status(), Offset: uint64(f.State().Offset()),
-			VmListVersion: f.List.Get().GetVersion(), WaitMs: beat.Milliseconds(),
+			VmListVersion: f.List.Get().GetVersion(), WaitMs: heartbeatInterval.Milliseconds(),
 		})
 		done <- result{answer: a, err: err}
 	}()
@@ -215,21 +221,22 @@
 		if r.err != nil {
 			return trace.Wrap(r.err)
 		}
-		return f.take(r.answer)
-	case <-f.poke:
+		return f.applyAnswer(r.answer)
+	case <-f.statusChanged:
 		stop()
 		r := <-done
 		if r.err != nil {
 			return nil
 		}
-		return f.take(r.answer)
+		return f.applyAnswer(r.answer)
 	}
 }
 
-// dialMargin is what a heartbeat may take beyond its wait.
-const dialMargin = 2 * time.Second
+// callMargin is the time that a call may take beyond its wait at the entry.
+const callMargin = 2 * time.Second
 
-func (f *Follower) take(a *pb.SyncResponse) error {
+// applyAnswer applies the configuration and the VM list of a heartbeat's answer.
+func (f *Follower) applyAnswer(a *pb.SyncResponse) error {
 	if a.GetState() != nil {
 		f.Adopt(a.GetState())
 	}
@@ -243,23 +250,24 @@
 	return nil
 }
 
-// turnWait is how long one question for a turn waits at the entry.
-const turnWait = 5 * time.Second
+// permitWait is how long one request for a swap permit waits at the entry.
+const permitWait = 5 * time.Second
 
-// RequestSwapPermit asks the entry that gives a rollout's turns in this failure domain: the first in the rollout's rendezvous
-// order that answers. Without an entry there is no turn, as nobody could say who else is out.
+// RequestSwapPermit asks for a permit to swap to a rollout, and returns whether it was granted. The entry that issues a
+// rollout's permits in this failure domain is the first in the rollout's rendezvous order that answers. If none answers
+// there is no permit, as it is then unknown how many other VMs are swapping.
 func (f *Follower) RequestSwapPermit(ctx context.Context, r id.Rollout) bool {
-	var near []id.VM
+	var local []id.VM
 	address := map[id.VM]string{}
 	for _, v := range f.List.Entries(id.Domain(f.self.GetDomain())) {
-		near = append(near, id.VM(v.GetId()))
+		local = append(local, id.VM(v.GetId()))
 		address[id.VM(v.GetId())] = v.GetAddress()
 	}
-	ctx, stop := context.WithTimeout(ctx, turnWait+dialMargin)
+	ctx, stop := context.WithTimeout(ctx, permitWait+callMargin)
 	defer stop()
-	for _, v := range rendezvous.Order("turns/"+string(r), near) {
+	for _, v := range rendezvous.Order("turns/"+string(r), local) {
 		a, err := f.rpc.Config(address[v]).AskTurn(ctx, &pb.AskTurnRequest{
-			Rollout: string(r), Status: f.Status(), WaitMs: turnWait.Milliseconds(),
+			Rollout: string(r), Status: f.Status(), WaitMs: permitWait.Milliseconds(),
 		})
 		if err == nil {
 			return a.GetGranted()
