--- a/internal/records/era_test.go
+++ b/internal/records/era_test.go
@@ -134,12 +134,12 @@
 	probe := func(context.Context, string, id.Position) error { return nil }
 
 	It("backs off between snapshots if the store never serves records from the offset that it returned", func() {
-		var snapshot atomic.Int32
+		var snapshots atomic.Int32
 		run(&Store{
 			Probe: probe,
 			Snapshot: func(_ context.Context, topic string, _ Progress) ([]Record, id.Position, error) {
 				if topic == "op" {
-					snapshot.Add(1)
+					snapshots.Add(1)
 				}
 				return nil, 5, nil
 			},
@@ -147,7 +147,7 @@
 				return ReadResult{}, platform.ErrOffsetExpired
 			},
 		}, 3*time.Second)
-		Expect(snapshot.Load()).To(BeNumerically("<=", 5))
+		Expect(snapshots.Load()).To(BeNumerically("<=", 5))
 	})
 
 	It("ignores answers of an earlier era, and polls no faster than during an outage", func() {
--- a/internal/records/follow_test.go
+++ b/internal/records/follow_test.go
@@ -112,7 +112,7 @@
 		now = now.Add(avoidStaleFor + time.Millisecond)
 		Expect(f.firstUsable([]string{"own"})).To(BeEmpty(), "this process has fresh records, which that one follows")
 		now = now.Add(maxFreshAge)
-		Expect(f.firstUsable([]string{"own"})).To(Equal("own"), "its records are not fresh any more, and that one may have taken over")
+		Expect(f.firstUsable([]string{"own"})).To(Equal("own"), "the records of this process are not fresh any more, and that one may have taken over")
 	})
 })
 
--- a/internal/records/log_test.go
+++ b/internal/records/log_test.go
@@ -129,8 +129,8 @@
 
 	// Guards against grace periods passed on needlessly. The first reader of a domain had been cut off alone, took that
 	// for an outage and gave its grace period to processes that had fresh records from another reader: they kept a
-	// removed upstream for two more seconds. With two readers cut off the last process learned of the removal after 4.5
-	// s.
+	// removed upstream for two more seconds. With two readers cut off the last process learned of the removal
+	// after 4.5 s.
 	It("ignores the grace period of a source that alone had lost the store", func() {
 		now := time.Now()
 		f := facts.New(time.Now)
--- a/internal/records/records_test.go
+++ b/internal/records/records_test.go
@@ -42,18 +42,18 @@
 		otherStore := &fakeStore{logs: map[string][]Record{}}
 		otherStore.write("op", "config", "1")
 		otherStore.write("up", "u", "here")
-		_, second, freeze := pair(otherStore)
+		_, second, frozen := pair(otherStore)
 		closed := func() bool {
 			second.follower.upstreamsGate.mu.Lock()
 			defer second.follower.upstreamsGate.mu.Unlock()
 			return second.follower.upstreamsGate.closed != nil
 		}
 		Eventually(closed).WithTimeout(3 * time.Second).Should(BeTrue())
-		freeze.Lock()
+		frozen.Lock()
 		otherStore.write("op", "config", "7")
 		Eventually(func() string { return second.value("config") }).WithTimeout(longPollWait + longPollSlack + 300*time.Millisecond).
 			Should(Equal("7"))
-		freeze.Unlock()
+		frozen.Unlock()
 		second.facts.NoteGateway("a")
 		Eventually(closed).WithTimeout(avoidFailedFor + 2*time.Second).Should(BeTrue())
 	})
@@ -130,7 +130,7 @@
 				all = append(all, fmt.Sprintf("10.0.0.%d:7700", i))
 			}
 			readers := 0
-			preferredBy := map[string][]string{}
+			preferredOf := map[string][]string{}
 			for _, self := range all {
 				preferred, others := Sources("d", all, self)
 				if len(preferred)+len(others) != len(all)-1 {
@@ -139,14 +139,14 @@
 				if len(preferred) == 0 {
 					readers++
 				}
-				preferredBy[self] = preferred
+				preferredOf[self] = preferred
 			}
 			if readers != 1 {
 				t.Fatalf("%d gateways follow nobody", readers)
 			}
 			for _, self := range all {
-				for _, a := range preferredBy[self] {
-					if slices.Contains(preferredBy[a], self) {
+				for _, a := range preferredOf[self] {
+					if slices.Contains(preferredOf[a], self) {
 						t.Fatalf("%s and %s prefer each other", self, a)
 					}
 				}
--- a/internal/records/start_test.go
+++ b/internal/records/start_test.go
@@ -19,7 +19,7 @@
 // regions that also carries the list of upstreams. The list took up to 1.4 s at the domain's reader, so gateways did
 // not see the new upstreams, and requests reached upstreams that had left 3.0 to 3.4 s before.
 var _ = Describe("processes that start beside new upstreams, which no gateway knows yet", func() {
-	const old = "10.0.0.1:7700"
+	const oldStager = "10.0.0.1:7700"
 	var s *fakeStore
 
 	BeforeEach(func() {
@@ -40,7 +40,7 @@
 	}
 
 	It("read only the list from the store, and the rest from a process beside an older upstream", func() {
-		oldProcess, _ := newProcess(old, s, noPeers)
+		oldProcess, _ := newProcess(oldStager, s, noPeers)
 		Eventually(func() string { return oldProcess.value("config") }).Should(Equal("1"))
 		var mu sync.Mutex
 		asked := map[string]bool{}
@@ -61,7 +61,7 @@
 		Expect(storeCopy.callsFor("up")).NotTo(BeZero())
 		mu.Lock()
 		defer mu.Unlock()
-		Expect(asked).To(Equal(map[string]bool{old: true}), "a process beside an upstream without weights may have no records yet")
+		Expect(asked).To(Equal(map[string]bool{oldStager: true}), "a process beside an upstream without weights may have no records yet")
 	})
 
 	It("read everything from the store if no other process answers", func() {
@@ -98,8 +98,8 @@
 		}
 	})
 
-	DescribeTable("returns a peer only if no gateway is usable", func(oldProcess []string, started bool, want string) {
-		gateways = oldProcess
+	DescribeTable("returns a peer only if no gateway is usable", func(known []string, started bool, want string) {
+		gateways = known
 		if started {
 			f.logs[0].Merge(Batch{Snapshot: true, Next: 1, ConfirmedAt: time.Now()})
 		}
@@ -115,11 +115,11 @@
 	)
 
 	It("accepts older records from a peer than from a gateway, as the peer follows one itself", func() {
-		oldStager := &pb.FollowResponse{Topics: []*pb.TopicChanges{{Topic: "op", AgeMs: maxOperatorsAge.Milliseconds() - 1}}}
+		staleAnswer := &pb.FollowResponse{Topics: []*pb.TopicChanges{{Topic: "op", AgeMs: maxOperatorsAge.Milliseconds() - 1}}}
 		f.logs[0].topic.KeysAreUpstreams = true
-		Expect(f.checkAnswer(oldStager)).To(MatchError(errStale))
+		Expect(f.checkAnswer(staleAnswer)).To(MatchError(errStale))
 		f.viaPeer = true
-		Expect(f.checkAnswer(oldStager)).To(Succeed())
+		Expect(f.checkAnswer(staleAnswer)).To(Succeed())
 	})
 })
 
