--- a/internal/records/outage.go
+++ b/internal/records/outage.go
@@ -51,9 +51,9 @@
 }
 
 // unreadSince returns the time after which records may have been written without being read here, with its evidence;
-// zero if unknown. An outage of the store is left out, as operators count from when a version can be known. If another
-// process held the record before the outage ended, the store was unavailable for this process only. The caller holds
-// the lock.
+// zero if unknown. For a record written during an outage of the store this is the end of the outage, as the period in
+// which older versions may still serve counts from when the new one can be known. If another process held the record
+// before the outage ended, the store was unavailable to this process only. The caller holds the lock.
 func (l *Log) unreadSince(knownAt time.Time) (time.Time, dating.Evidence) {
 	switch {
 	case l.lastOutage.at.After(l.caughtUpAt) && (knownAt.IsZero() || !l.lastOutage.at.After(knownAt)):
--- a/internal/records/outage_test.go
+++ b/internal/records/outage_test.go
@@ -338,7 +338,7 @@
 })
 
 // Guards against a date before the outage. A process that had only probed the store dated a version published during
-// the outage by its last read before. The time of older versions ended seconds too early, and a domain refused 300
+// the outage by its last read before. Older versions stopped serving seconds too early, and a domain refused 300
 // requests in half a second.
 var _ = Describe("a record that was written during an outage of the store", func() {
 	It("is dated by the end of the outage, by a process that has only probed the store since its source lost it", func() {
--- a/internal/records/publish_time_test.go
+++ b/internal/records/publish_time_test.go
@@ -237,7 +237,7 @@
 	return latest
 }
 
-// check verifies the end of each version's time at each process.
+// check verifies, at each process, until when each version may serve.
 func (w *dateModel) check() {
 	const validity = time.Minute
 	for i, p := range w.processes {
--- a/internal/records/reader.go
+++ b/internal/records/reader.go
@@ -233,8 +233,8 @@
 }
 
 // maxWokenDelay bounds the transfer time of an answer that ended a wait at the store: its only record woke the reader,
-// so it was written just before. The time of the request alone would be 0.35 s too early on average, which would end
-// the time of older versions too soon.
+// so it was written just before. The time of the request alone would be 0.35 s too early on average, which would
+// shorten the period in which older versions may still serve.
 const maxWokenDelay = 200 * time.Millisecond
 
 // boundWokenRecord sets the lower time bound of the one record that ended a wait at the store. An answer that arrives
