--- /dev/null
+++ b/internal/records/lease_request.go
@@ -0,0 +1,193 @@
+package records
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	pb "github.com/springrail/springrail/gen/springrail/v1"
+)
+
+// requestLease asks the other processes of the failure domain for the lease to read a topic's snapshot from the store.
+// If it is refused, the process that reads the topic, or holds it, becomes the hinted source.
+func (f *Follower) requestLease(ctx context.Context, l *Log, failed bool) bool {
+	targets := append(f.leasePeers(), l.lease.request(failed)...)
+	contacted := map[string]bool{f.self: true}
+	c := &pb.Claim{Topic: l.topic.Name, Claimant: f.self, Domain: string(f.domain), Failed: failed}
+	for len(targets) > 0 {
+		var others []string
+		for _, a := range f.askAll(ctx, targets, contacted, c) {
+			if a.GetRefused() {
+				l.lease.release()
+				f.hint.set(a.GetFollow())
+				f.metrics.Add("claims_refused", 1)
+				return false
+			}
+			others = append(others, a.GetRivals()...)
+		}
+		targets = others
+	}
+	return l.lease.acquire()
+}
+
+// leasePeers returns the processes that a lease request goes to first: the gateways of the failure domain, and the
+// configured seeds while fewer than two gateways are known. Processes that start together share the seeds and learn of
+// each other from them. Without seeds, all processes of a domain read a configuration of 358 KB at once after a power
+// failure, in 1.3 to 2.1 s each.
+func (f *Follower) leasePeers() []string {
+	l := f.gateways()
+	if len(l) < 2 {
+		l = append(l, f.seeds...)
+	}
+	return l
+}
+
+// askAll sends a lease request in parallel to all processes that have not been asked yet, and returns the answers that
+// arrive in time.
+func (f *Follower) askAll(ctx context.Context, addresses []string, contacted map[string]bool, c *pb.Claim) []*pb.ClaimAnswer {
+	ctx, stop := context.WithTimeout(ctx, leaseRequestTimeout)
+	defer stop()
+	var wg sync.WaitGroup
+	var mu sync.Mutex
+	var l []*pb.ClaimAnswer
+	for _, address := range addresses {
+		if contacted[address] {
+			continue
+		}
+		contacted[address] = true
+		wg.Go(func() {
+			a, err := f.ask(ctx, address, &pb.FollowRequest{Claim: c})
+			if err != nil {
+				// A process that does not answer counts as agreeing.
+				return
+			}
+			mu.Lock()
+			defer mu.Unlock()
+			l = append(l, a.GetClaim())
+		})
+	}
+	wg.Wait()
+	return l
+}
+
+// answerLeaseRequest answers another process's lease request. A request is refused by a process with fresh records of
+// its own from the store. A requester that is not refused becomes the hinted source here: its request announces the new
+// records sooner than polling would.
+func (s *Service) answerLeaseRequest(c *pb.Claim) *pb.FollowResponse {
+	if c.GetDomain() != string(s.domain) {
+		return &pb.FollowResponse{Claim: &pb.ClaimAnswer{Rivals: s.remoteRequests.register(c)}}
+	}
+	for _, l := range s.logs {
+		if l.topic.Name != c.GetTopic() {
+			continue
+		}
+		if l.freshFromStore() {
+			return &pb.FollowResponse{Claim: &pb.ClaimAnswer{Refused: true, Follow: l.lease.self}}
+		}
+		a := l.lease.answerRequest(c.GetClaimant(), c.GetFailed())
+		if !a.GetRefused() {
+			s.hint.set(c.GetClaimant())
+		}
+		return &pb.FollowResponse{Claim: a}
+	}
+	return &pb.FollowResponse{Claim: &pb.ClaimAnswer{}}
+}
+
+// remoteRequests holds the lease requests of processes of other failure domains, which reach this one as a configured
+// seed.
+type remoteRequests struct {
+	now func() time.Time
+
+	mu      sync.Mutex
+	byTopic map[remoteTopic]requesters
+}
+
+// remoteTopic is a topic as read in another failure domain.
+type remoteTopic struct {
+	domain, topic string
+}
+
+// maxRemoteTopics bounds the pairs of failure domain and topic for which lease requests are kept; the largest planned
+// deployment has 8 domains.
+const maxRemoteTopics = 64
+
+// register adds a lease request and returns the other recent requesters of the same domain and topic.
+func (e *remoteRequests) register(c *pb.Claim) []string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	k := remoteTopic{domain: c.GetDomain(), topic: c.GetTopic()}
+	r := e.byTopic[k]
+	if r == nil {
+		if len(e.byTopic) >= maxRemoteTopics {
+			return nil
+		}
+		r = requesters{}
+		e.byTopic[k] = r
+	}
+	now := e.now()
+	l := r.except(c.GetClaimant(), now)
+	r.add(c.GetClaimant(), now)
+	return l
+}
+
+// hintTTL is how long a hinted source takes precedence over the usual sources.
+const hintTTL = 2 * time.Second
+
+// sourceHint is a process that reads the store, has its records or is about to read them. A process without fresh
+// records follows it, and retries it soon if it does not have them yet.
+type sourceHint struct {
+	now func() time.Time
+
+	mu      sync.Mutex
+	address string
+	until   time.Time
+	// isNew is true until get has returned the hint once.
+	isNew bool
+	// updated closes at the next hint.
+	updated chan struct{}
+}
+
+func newSourceHint(now func() time.Time) *sourceHint {
+	return &sourceHint{now: now, updated: make(chan struct{})}
+}
+
+// set replaces the hint and wakes waiters.
+func (h *sourceHint) set(address string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.address, h.until, h.isNew = address, h.now().Add(hintTTL), true
+	close(h.updated)
+	h.updated = make(chan struct{})
+}
+
+// get returns the hinted process, empty if there is none, and whether the hint is new since the last call.
+func (h *sourceHint) get() (address string, isNew bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if !h.now().Before(h.until) {
+		return "", false
+	}
+	isNew, h.isNew = h.isNew, false
+	return h.address, isNew
+}
+
+// matches reports whether a process is the hinted one.
+func (h *sourceHint) matches(address string) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.address == address && h.now().Before(h.until)
+}
+
+// wait returns after d, at the next hint or when the context ends.
+func (h *sourceHint) wait(ctx context.Context, d time.Duration) {
+	h.mu.Lock()
+	c := h.updated
+	h.mu.Unlock()
+	t := time.NewTimer(d)
+	defer t.Stop()
+	select {
+	case <-ctx.Done():
+	case <-c:
+	case <-t.C:
+	}
+}
