--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,4 +1,5 @@
-// Package platform meets the platform's log, VM list, weight store and origin. No other package knows their wire form.
+// Package platform is the client of the platform's log, VM list, weight store and origin. It alone contains their wire
+// formats.
 package platform
 
 import (
@@ -21,21 +22,21 @@
 )
 
 var (
-	// ErrUnavailable says that the platform gave no answer; the operation may have taken effect.
+	// ErrUnavailable reports that the platform didn't respond or failed; the operation may have taken effect.
 	ErrUnavailable = errors.New("the platform gives no answer")
-	// ErrRateLimited says that the platform refused the operation because of its rate; nothing took effect.
+	// ErrRateLimited reports that the platform rejected the operation because of its rate limit; nothing took effect.
 	ErrRateLimited = errors.New("the platform is over its rate")
-	// ErrOffsetExpired says that records at the asked offset are no longer kept.
+	// ErrOffsetExpired reports that the log no longer keeps the records at the requested offset.
 	ErrOffsetExpired = errors.New("the log no longer keeps this offset")
-	// ErrNotFound says that the store or origin has no such object.
+	// ErrNotFound reports that the store or origin has no such object.
 	ErrNotFound = errors.New("the store has no such object")
 )
 
-// PartName is what other parts name in their needs.
+// PartName is the name by which other parts depend on this one.
 const PartName = "platform"
 
-// answerTimeout bounds one call, apart from the time that a long poll asks for.
-const answerTimeout = 5 * time.Second
+// callTimeout bounds one call, not counting the wait time of a long poll.
+const callTimeout = 5 * time.Second
 
 // Settings is the section [platform].
 type Settings struct {
@@ -73,32 +74,32 @@
 	})
 }
 
-// Client is the client of all that the platform gives.
+// Client calls the platform's services.
 type Client struct {
 	settings *Settings
 	client   *http.Client
 }
 
-// New makes a client.
+// New returns a client with the given settings.
 func New(s *Settings, c *http.Client) *Client {
 	return &Client{settings: s, client: c}
 }
 
-// Batch is what one read of the log returned.
+// Batch is the result of one read of the log.
 type Batch struct {
 	Records []*pb.LogRecord
-	// First is the oldest offset that the log still keeps.
+	// First is the oldest offset that the log retains.
 	First id.Offset
-	// Next is the offset that the next append will get.
+	// Next is the offset that the next appended record will get.
 	Next id.Offset
 }
 
-// appendAnswer and readAnswer are the log's JSON.
-type appendAnswer struct {
+// appendResponse is the JSON of the log's answer to an append.
+type appendResponse struct {
 	Offset uint64 `json:"offset"`
 }
 
-type readAnswer struct {
+type readResponse struct {
 	First   uint64       `json:"first"`
 	Next    uint64       `json:"next"`
 	Records []readRecord `json:"records"`
@@ -109,21 +110,22 @@
 	Data   []byte `json:"data"`
 }
 
-// Append adds a record and returns its offset. ErrRateLimited: nothing was added. ErrUnavailable: it may have been.
+// Append appends a record to the log and returns its offset. With ErrRateLimited nothing was appended; with ErrUnavailable the
+// record may have been appended.
 func (p *Client) Append(ctx context.Context, data []byte) (id.Offset, error) {
-	ctx, stop := context.WithTimeout(ctx, answerTimeout)
+	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
-	var a appendAnswer
+	var a appendResponse
 	err := p.call(ctx, http.MethodPost, p.settings.Log+"/log/append", data, &a)
 	return id.Offset(a.Offset), err
 }
 
-// Read returns records from an offset on, waiting up to wait for the first one.
+// Read returns records from an offset on. It is a long poll: it waits up to wait for the first record.
 func (p *Client) Read(ctx context.Context, from id.Offset, limit int, wait time.Duration) (Batch, error) {
-	ctx, stop := context.WithTimeout(ctx, answerTimeout+wait)
+	ctx, stop := context.WithTimeout(ctx, callTimeout+wait)
 	defer stop()
 	u := fmt.Sprintf("%s/log/read?from=%d&limit=%d&wait=%s", p.settings.Log, from, limit, wait)
-	var a readAnswer
+	var a readResponse
 	if err := p.call(ctx, http.MethodGet, u, nil, &a); err != nil {
 		return Batch{}, err
 	}
@@ -137,7 +139,7 @@
 	return b, nil
 }
 
-// vmEntry is the VM list's JSON.
+// vmEntry is the JSON of a VM in the platform's VM list.
 type vmEntry struct {
 	ID      string `json:"id"`
 	Domain  string `json:"domain"`
@@ -149,16 +151,16 @@
 	Engine  bool   `json:"engine"`
 }
 
-type vmListAnswer struct {
+type vmListResponse struct {
 	Version uint64    `json:"version"`
 	VMs     []vmEntry `json:"vms"`
 }
 
-// ListVMs returns the platform's list, which lags.
+// ListVMs returns the platform's VM list, which lags behind the VMs' actual state.
 func (p *Client) ListVMs(ctx context.Context) (*pb.VMList, error) {
-	ctx, stop := context.WithTimeout(ctx, answerTimeout)
+	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
-	var a vmListAnswer
+	var a vmListResponse
 	if err := p.call(ctx, http.MethodGet, p.settings.VMList+"/vms", nil, &a); err != nil {
 		return nil, err
 	}
@@ -172,7 +174,7 @@
 	return l, nil
 }
 
-func (p *Client) call(ctx context.Context, method, url string, body []byte, into any) error {
+func (p *Client) call(ctx context.Context, method, url string, body []byte, result any) error {
 	r, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return trace.Wrap(err)
@@ -185,7 +187,7 @@
 	if err := statusError(a.StatusCode); err != nil {
 		return trace.Wrap(err, "%s", url)
 	}
-	if err := json.NewDecoder(a.Body).Decode(into); err != nil {
+	if err := json.NewDecoder(a.Body).Decode(result); err != nil {
 		return trace.Wrap(errors.Join(ErrUnavailable, err))
 	}
 	return nil
@@ -204,21 +206,21 @@
 	}
 }
 
-// Source is one of the places that hold weights.
+// Source is a place from which weights can be downloaded.
 type Source string
 
-// The sources of weights.
+// Sources of weights.
 const (
 	SourceOrigin Source = "origin"
 	SourceStore  Source = "store"
 )
 
-// HasStore says whether a weight store is set.
+// HasStore reports whether a weight store is configured.
 func (p *Client) HasStore() bool {
 	return p.settings.Store != ""
 }
 
-// OpenObject returns length bytes of an object from an offset on. A negative length takes all.
+// OpenObject returns length bytes of an object from an offset on. A negative length returns the whole object.
 func (p *Client) OpenObject(ctx context.Context, s Source, path string, from, length int64) (io.ReadCloser, error) {
 	base := p.settings.Origin + "/origin/"
 	if s == SourceStore {
