--- a/internal/upconn/conn.go
+++ b/internal/upconn/conn.go
@@ -15,32 +15,34 @@
 )
 
 const (
-	// defaultKeep is how long a connection is kept where the upstream does not say; an upstream's usual idle time is
-	// seconds, and a new connection costs about a round trip.
-	defaultKeep = 3 * time.Second
-	// keepMargin is taken off the time that the upstream says, so that our send and its close do not cross.
-	keepMargin = time.Second
-	// readBuffer holds a head and a few events of a stream, in bytes.
-	readBuffer = 4 << 10
-	// maxIdle bounds the idle connections to one address; more are closed.
-	maxIdle = 24
+	// defaultIdleTimeout is how long an idle connection is kept if the upstream doesn't state its idle timeout. Upstreams
+	// usually have one of some seconds, and a new connection costs about a round trip.
+	defaultIdleTimeout = 3 * time.Second
+	// idleTimeoutMargin is subtracted from the idle timeout that the upstream states, so that no request is sent while the
+	// upstream closes the connection.
+	idleTimeoutMargin = time.Second
+	// bufferBytes is the size of a connection's read and write buffers. It is enough for a header and a few events of a
+	// stream.
+	bufferBytes = 4 << 10
+	// maxIdlePerAddress bounds the idle connections to one address. The oldest are closed beyond it.
+	maxIdlePerAddress = 24
 )
 
 // conn is one connection to an upstream.
 type conn struct {
 	net.Conn
 	address string
-	// born is the start of the upstream that was known when the connection was opened.
-	born id.Birth
-	r    *bufio.Reader
-	w    *bufio.Writer
-	// idleUntil is when it may no longer be used again.
-	idleUntil time.Time
+	// incarnation is the upstream's process lifetime that was known when the connection was opened.
+	incarnation id.Birth
+	r           *bufio.Reader
+	w           *bufio.Writer
+	// reusableUntil is the time from which the connection may not be used for another request.
+	reusableUntil time.Time
 }
 
-// usable says whether an idle connection is still open and silent. Bytes that nobody asked for belong to an answer
-// that came late or twice, and nothing may follow them on this connection.
-func (c *conn) usable() bool {
+// isReusable reports whether an idle connection is still open and has no unread bytes. Unrequested bytes belong to a late or
+// duplicate response, and no request may follow them on this connection.
+func (c *conn) isReusable() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -62,28 +64,29 @@
 	return err == nil && silent
 }
 
-// idle holds the connections that wait for their next request, by address.
-type idle struct {
+// idlePool holds the idle connections by address.
+type idlePool struct {
 	mu    sync.Mutex
 	conns map[string][]*conn
 }
 
-// take returns the connection to an address that was used last and may be used again, or nil. One to an earlier start of
-// the upstream is not: behind a cut it stays silent, and a request sent over it ends with an unknown outcome.
-func (i *idle) take(address string, born id.Birth, now time.Time) *conn {
+// take removes and returns the most recently used reusable connection to an address, or nil. A connection to an earlier
+// incarnation of the upstream is closed: during a network partition it stays silent, and a request sent over it would have an
+// unknown outcome.
+func (i *idlePool) take(address string, incarnation id.Birth, now time.Time) *conn {
 	for {
 		c := i.pop(address)
 		if c == nil {
 			return nil
 		}
-		if now.Before(c.idleUntil) && !c.born.Before(born) && c.usable() {
+		if now.Before(c.reusableUntil) && !c.incarnation.Before(incarnation) && c.isReusable() {
 			return c
 		}
 		c.Close()
 	}
 }
 
-func (i *idle) pop(address string) *conn {
+func (i *idlePool) pop(address string) *conn {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	l := i.conns[address]
@@ -95,19 +98,19 @@
 	return c
 }
 
-func (i *idle) put(c *conn, now time.Time) {
+func (i *idlePool) put(c *conn, now time.Time) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	l := i.conns[c.address]
-	for len(l) > 0 && (len(l) >= maxIdle || !now.Before(l[0].idleUntil)) {
+	for len(l) > 0 && (len(l) >= maxIdlePerAddress || !now.Before(l[0].reusableUntil)) {
 		l[0].Close()
 		l = l[1:]
 	}
 	i.conns[c.address] = append(l, c)
 }
 
-// drop closes all idle connections to an address.
-func (i *idle) drop(address string) {
+// closeAll closes all idle connections to an address.
+func (i *idlePool) closeAll(address string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for _, c := range i.conns[address] {
@@ -116,16 +119,17 @@
 	delete(i.conns, address)
 }
 
-// keepFor is how long the upstream keeps the connection of an answer, less a margin; 0 is not at all.
-func keepFor(a *http.Response) time.Duration {
+// idleTimeout returns how long the upstream keeps the connection after a response, less idleTimeoutMargin. It is 0 if the
+// connection can't be reused.
+func idleTimeout(a *http.Response) time.Duration {
 	if a.Close {
 		return 0
 	}
 	for field := range strings.SplitSeq(a.Header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		if s, err := strconv.Atoi(value); err == nil && name == "timeout" {
-			return min(defaultKeep, time.Duration(s)*time.Second-keepMargin)
+			return min(defaultIdleTimeout, time.Duration(s)*time.Second-idleTimeoutMargin)
 		}
 	}
-	return defaultKeep
+	return defaultIdleTimeout
 }
--- a/internal/upconn/pool.go
+++ b/internal/upconn/pool.go
@@ -15,77 +15,78 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// Pool sends requests over kept connections.
+// Pool sends requests over reusable connections.
 type Pool struct {
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 	now  func() time.Time
-	idle idle
-	// echoed says whether an answer's header belongs to a request.
-	echoed func(request, answer http.Header) bool
-	// OnDial counts new connections.
+	idle idlePool
+	// isResponseTo reports whether a response's header belongs to a request.
+	isResponseTo func(request, answer http.Header) bool
+	// OnDial is called before each new connection is dialled.
 	OnDial func()
 }
 
-// New makes a pool. Echoed tells an answer to this request from a late one to another request.
+// New returns a pool. The function isResponseTo tells the response to a request from a late response to another request.
 func New(dial func(ctx context.Context, network, address string) (net.Conn, error), now func() time.Time,
-	echoed func(request, answer http.Header) bool,
+	isResponseTo func(request, answer http.Header) bool,
 ) *Pool {
 	return &Pool{
-		dial: dial, now: now, echoed: echoed, idle: idle{conns: map[string][]*conn{}}, OnDial: func() {},
+		dial: dial, now: now, isResponseTo: isResponseTo, idle: idlePool{conns: map[string][]*conn{}}, OnDial: func() {},
 	}
 }
 
-// Exchange is a request that was sent and the head of its answer.
+// Exchange is a request that was sent and the header of its response.
 type Exchange struct {
 	*http.Response
-	pool *Pool
-	conn *conn
-	stop func() bool
-	// uploaded closes once a long body has been sent; nil for bodies that were sent whole.
+	pool      *Pool
+	conn      *conn
+	stopAbort func() bool
+	// uploaded is closed when the body of a request has been sent completely. It is nil if the body was sent together with the
+	// header.
 	uploaded chan struct{}
-	ended    bool
+	released bool
 }
 
-// maxStray bounds the answers to other requests that are passed over on one connection.
-const maxStray = 4
+// maxResponseHeads bounds the response headers that are read on a connection until one belongs to the request.
+const maxResponseHeads = 4
 
-// Send sends a request to an address and returns the head of the answer. The context's end breaks the connection, and
-// with it the upstream's work. Errors are ErrNotSent, ErrSendDenied or ErrOutcomeUnknown.
+// Send sends a request to an address and returns the header of its response. When the context ends, the connection is aborted,
+// and with it the upstream's processing. The error is ErrNotSent, ErrSendDenied or ErrOutcomeUnknown.
 func (p *Pool) Send(ctx context.Context, address string, r *Request) (*Exchange, error) {
-	asked := p.now()
-	c := p.idle.take(address, r.Incarnation, asked)
+	started := p.now()
+	c := p.idle.take(address, r.Incarnation, started)
 	if c == nil {
-		fresh, err := p.connect(ctx, address, r.Incarnation)
+		dialled, err := p.connect(ctx, address, r.Incarnation)
 		if err != nil {
 			return nil, trace.Wrap(errors.Join(ErrNotSent, err))
 		}
-		c = fresh
+		c = dialled
 	}
-	if r.MaySend != nil && !r.MaySend(p.now().Sub(asked)) {
+	if r.MaySend != nil && !r.MaySend(p.now().Sub(started)) {
 		p.idle.put(c, p.now())
 		return nil, trace.Wrap(ErrSendDenied)
 	}
 	e := &Exchange{pool: p, conn: c}
-	e.stop = context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
-	if err := e.exchange(r); err != nil {
-		e.stop()
+	e.stopAbort = context.AfterFunc(ctx, func() { _ = c.SetDeadline(time.Unix(1, 0)) })
+	if err := e.sendAndReadHead(r); err != nil {
+		e.stopAbort()
 		c.Close()
 		return nil, trace.Wrap(errors.Join(ErrOutcomeUnknown, err))
 	}
 	return e, nil
 }
 
-func (p *Pool) connect(ctx context.Context, address string, born id.Birth) (*conn, error) {
+func (p *Pool) connect(ctx context.Context, address string, incarnation id.Birth) (*conn, error) {
 	p.OnDial()
 	n, err := p.dial(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: n, address: address, born: born, idleUntil: p.now().Add(defaultKeep), r: bufio.NewReaderSize(n, readBuffer), w: bufio.NewWriterSize(n, readBuffer)}, nil
+	return &conn{Conn: n, address: address, incarnation: incarnation, reusableUntil: p.now().Add(defaultIdleTimeout), r: bufio.NewReaderSize(n, bufferBytes), w: bufio.NewWriterSize(n, bufferBytes)}, nil
 }
 
-// exchange sends the request and reads the head of its answer.
-func (e *Exchange) exchange(r *Request) error {
+// sendAndReadHead sends the request and reads the header of its response.
+func (e *Exchange) sendAndReadHead(r *Request) error {
 	c := e.conn
 	r.writeHead(c.w)
 	if r.BodyRest == nil {
@@ -101,24 +102,25 @@
 	return e.readHead(r)
 }
 
-// upload sends a long body beside the answer, which may come before the body's end.
+// upload sends a long body concurrently with the reading of the response, which may arrive before the whole body has been
+// sent.
 func (e *Exchange) upload(r *Request) {
-	if r.writeRest(e.conn.w) == nil {
+	if r.writeBody(e.conn.w) == nil {
 		close(e.uploaded)
 	}
 }
 
-// readHead passes over answers that belong to other requests and informational ones.
+// readHead reads the header of the response, and skips informational responses and those to other requests.
 func (e *Exchange) readHead(r *Request) error {
-	for range maxStray {
-		a, err := http.ReadResponse(e.conn.r, &http.Request{Method: r.Method}) //nolint:bodyclose // End closes the connection
+	for range maxResponseHeads {
+		a, err := http.ReadResponse(e.conn.r, &http.Request{Method: r.Method}) //nolint:bodyclose // Release closes the connection
 		if err != nil {
 			return err
 		}
 		if a.StatusCode < http.StatusOK {
 			continue
 		}
-		if e.pool.echoed(r.Header, a.Header) {
+		if e.pool.isResponseTo(r.Header, a.Header) {
 			e.Response = a
 			return nil
 		}
@@ -126,27 +128,29 @@
 			return err
 		}
 	}
-	return errors.New("only answers to other requests came")
+	return errors.New("received only responses to other requests")
 }
 
-// Release gives the connection back after a whole answer; otherwise it closes it, which ends the upstream's work.
-func (e *Exchange) Release(whole bool) {
-	if e.ended {
+// Release returns the connection to the pool after a complete response; otherwise it closes the connection, which aborts the
+// upstream's processing.
+func (e *Exchange) Release(complete bool) {
+	if e.released {
 		return
 	}
-	e.ended = true
-	live := e.stop()
-	keep := keepFor(e.Response)
-	if !whole || !live || keep <= 0 || e.conn.r.Buffered() > 0 || !e.sent() {
+	e.released = true
+	live := e.stopAbort()
+	keep := idleTimeout(e.Response)
+	if !complete || !live || keep <= 0 || e.conn.r.Buffered() > 0 || !e.bodySent() {
 		e.conn.Close()
 		return
 	}
-	e.conn.idleUntil = e.pool.now().Add(keep)
+	e.conn.reusableUntil = e.pool.now().Add(keep)
 	e.pool.idle.put(e.conn, e.pool.now())
 }
 
-// sent says whether the whole body has left; where an answer came early the rest of it is still due there.
-func (e *Exchange) sent() bool {
+// bodySent reports whether the whole body has been sent. After an early response the upstream still expects the rest of the
+// body on this connection.
+func (e *Exchange) bodySent() bool {
 	if e.uploaded == nil {
 		return true
 	}
@@ -158,10 +162,11 @@
 	}
 }
 
-// ProbeRefused says whether nothing listens at an address any more: the process there has ended, and its VM lives. It is not
-// known where neither a connection nor a refusal comes. A connection that comes is kept for the next request.
-func (p *Pool) ProbeRefused(ctx context.Context, address string, born id.Birth) (refused, known bool) {
-	c, err := p.connect(ctx, address, born)
+// ProbeRefused dials an address and reports whether the connection is refused: then the process there has ended although its
+// VM is running. The result is not known if the dial fails in another way, for example by a timeout. A successful connection
+// is kept for the next request.
+func (p *Pool) ProbeRefused(ctx context.Context, address string, incarnation id.Birth) (refused, known bool) {
+	c, err := p.connect(ctx, address, incarnation)
 	if err != nil {
 		refused = errors.Is(err, syscall.ECONNREFUSED)
 		return refused, refused
@@ -172,5 +177,5 @@
 
 // CloseIdle closes the idle connections to an address.
 func (p *Pool) CloseIdle(address string) {
-	p.idle.drop(address)
+	p.idle.closeAll(address)
 }
--- a/internal/upconn/request.go
+++ b/internal/upconn/request.go
@@ -1,7 +1,8 @@
-// Package upconn sends HTTP/1.1 requests to upstreams and tells apart what was never sent from what may have run.
+// Package upconn sends HTTP/1.1 requests to upstreams, and distinguishes requests that were never sent from those that may
+// have run.
 //
-// The standard transport sends a request again by itself when a kept connection dies under it, which would run a
-// request a second time. This client never repeats anything; whether to do so is the caller's decision.
+// The standard transport retries a request on its own when a reused connection fails, which could run the request twice. This
+// client never retries; its caller decides whether to.
 package upconn
 
 import (
@@ -16,36 +17,37 @@
 )
 
 var (
-	// ErrNotSent says that no byte of the request left for the upstream.
+	// ErrNotSent reports that no byte of the request was sent to the upstream.
 	ErrNotSent = errors.New("the request was not sent")
-	// ErrSendDenied says that the request was not sent, as it might not be any more once there was a connection.
-	ErrSendDenied = errors.New("the request may not be sent any more")
-	// ErrOutcomeUnknown says that the request was sent, at least in part, and that no whole answer came.
-	ErrOutcomeUnknown = errors.New("the upstream may have run the request and gave no whole answer")
+	// ErrSendDenied reports that the request was not sent because Request.MaySend denied it once there was a connection.
+	ErrSendDenied = errors.New("the request was denied after its connection was established")
+	// ErrOutcomeUnknown reports that the request was sent, at least in part, and no complete response was received.
+	ErrOutcomeUnknown = errors.New("the upstream may have run the request, but sent no complete response")
 )
 
-// Request is what is sent. The header holds no field that concerns one connection only.
+// Request is an HTTP request to an upstream. Its header contains no hop-by-hop fields.
 type Request struct {
 	Method string
-	// Target is the path and query as the caller sent them.
+	// Target is the path and query as received from the caller.
 	Target string
 	Host   string
 	Header http.Header
-	// Body is sent whole, with its length.
+	// Body is the whole body, or the part of it that precedes BodyRest. Without BodyRest it is sent with its length.
 	Body []byte
-	// BodyRest is what follows Body where it was too long to hold; it is sent in chunks, or with Length bytes in all.
+	// BodyRest streams the remainder of a body that is too long to buffer. ContentLength is the length of the whole body, or
+	// negative for chunked encoding.
 	BodyRest      io.Reader
 	ContentLength int64
-	// Incarnation is the start of the upstream that the request is for, where that is known: it goes over no kept connection to an
-	// earlier one.
+	// Incarnation is the process lifetime of the upstream for which the request is meant, if known. The request is not sent
+	// over a reused connection to an earlier incarnation.
 	Incarnation id.Birth
-	// MaySend is asked once there is a connection, with the time that it took to come, and false leaves the request unsent;
-	// nil stands for always. It guards against what must not be sent late: a connection over a link with a queue comes
-	// seconds after it was asked for.
+	// MaySend is called once there is a connection, with the time that getting it took. If it returns false the request is not
+	// sent; nil permits every request. It prevents requests from being sent too late: on a congested link a connection may be
+	// established seconds after the dial.
 	MaySend func(dialled time.Duration) bool
 }
 
-// hasBody says whether the request carries a body; a POST without one says so with a length of 0.
+// hasBody reports whether the request has a body. A POST or PUT with an empty body states a length of 0.
 func (r *Request) hasBody() bool {
 	return len(r.Body) > 0 || r.BodyRest != nil || r.Method == http.MethodPost || r.Method == http.MethodPut
 }
@@ -69,8 +71,8 @@
 	_, _ = w.WriteString("\r\n")
 }
 
-// writeRest sends a long body as it comes in from the caller.
-func (r *Request) writeRest(w *bufio.Writer) error {
+// writeBody sends a long body while it is received from the caller.
+func (r *Request) writeBody(w *bufio.Writer) error {
 	var to io.Writer = w
 	if r.ContentLength < 0 {
 		to = chunkWriter{w}
@@ -89,7 +91,7 @@
 	return w.Flush()
 }
 
-// chunkWriter frames each write as a chunk.
+// chunkWriter writes each buffer as one chunk of the chunked encoding.
 type chunkWriter struct {
 	w *bufio.Writer
 }
@@ -105,7 +107,7 @@
 	return len(b), err
 }
 
-// flushWriter passes each write on at once.
+// flushWriter flushes after each write, so that a streamed body isn't delayed in the buffer.
 type flushWriter struct {
 	to io.Writer
 	w  *bufio.Writer
