--- a/internal/upstream/activator.go
+++ b/internal/upstream/activator.go
@@ -17,71 +17,74 @@
 	"github.com/springrail/springrail/internal/transfer"
 )
 
-// drainForSwap bounds the wait for requests on the version that a swap takes away.
-const drainForSwap = 30 * time.Second
+// swapDrainTimeout bounds the wait for requests on the version that a swap replaces.
+const swapDrainTimeout = 30 * time.Second
 
-// progressSteps is the number of steps in which fetching is reported, so that a burst's heartbeats stay few.
+// progressSteps is the number of steps in which a download's progress is reported, which bounds the number of status reports
+// during a rollout.
 const progressSteps = 8
 
-// Activator orders the engine to load what this VM should serve, and announces only what the engine says it serves.
+// Activator orders the engine to load the versions that this VM should serve, and announces only those that the engine reports
+// as ready.
 type Activator struct {
 	live   *LiveVersions
 	log    *log.Logger
 	events *kernel.EventRing
-	// engineState and load are the engine's; replicas, config, askTurn and report are the agent's other parts.
+	// engineState and load call the engine; replicas, config, acquireTurn and report call other parts of the agent.
 	engineState func(ctx context.Context) (engine.State, error)
 	load        func(ctx context.Context, o engine.Order) error
 	replicas    func() []transfer.Replica
 	config      func() *config.State
-	askTurn     func(ctx context.Context, r id.Rollout) bool
+	acquireTurn func(ctx context.Context, r id.Rollout) bool
 	report      func(change func(s *pb.VMStatus))
 	localURL    string
 
-	reported *pb.VMStatus
-	// swapping holds the rollouts whose load has been ordered or is about to be, until the engine has them ready. They
-	// count as out of service, also where the load failed, so that a version that can't be loaded stops the wave.
+	lastReported *pb.VMStatus
+	// swapping holds the rollouts from shortly before their load is ordered until the engine reports them as ready. They count
+	// as out of service even if the load fails, so that a version that can't be loaded stops the rollout on further VMs.
 	swapping map[id.Rollout]bool
-	// asking holds the rollouts whose turn is being asked for; granted brings those whose turn has come.
-	asking  map[id.Rollout]bool
-	granted chan turn
-	// failed counts the loads of a rollout that failed in a row, and retry is when the next may be ordered.
-	failed map[id.Rollout]int
-	retry  map[id.Rollout]time.Time
+	// pendingTurns holds the rollouts for which a turn to swap has been requested; turnResults delivers the results.
+	pendingTurns map[id.Rollout]bool
+	turnResults  chan turnResult
+	// failedLoads counts the load orders of a rollout since it was last ready, and retryAt is the earliest time of the next
+	// one.
+	failedLoads map[id.Rollout]int
+	retryAt     map[id.Rollout]time.Time
 }
 
-// turn is the answer to a question for a turn.
-type turn struct {
+// turnResult tells whether a rollout's turn, the permission to swap on this VM, was granted.
+type turnResult struct {
 	rollout id.Rollout
-	ok      bool
+	granted bool
 }
 
-// NewActivator makes an activator with its seams.
+// NewActivator returns an activator. Its function fields have to be set before use.
 func NewActivator(l *LiveVersions, g *log.Logger, e *kernel.EventRing) *Activator {
 	return &Activator{
-		live: l, log: g, events: e, swapping: map[id.Rollout]bool{}, asking: map[id.Rollout]bool{},
-		failed: map[id.Rollout]int{}, retry: map[id.Rollout]time.Time{}, granted: make(chan turn, 16),
+		live: l, log: g, events: e, swapping: map[id.Rollout]bool{}, pendingTurns: map[id.Rollout]bool{},
+		failedLoads: map[id.Rollout]int{}, retryAt: map[id.Rollout]time.Time{}, turnResults: make(chan turnResult, 16),
 	}
 }
 
-// Reconcile looks at the engine once, gives the orders that are due and reports what changed.
+// Reconcile reads the engine's state, requests turns for the loads that are due and reports changes.
 func (a *Activator) Reconcile(ctx context.Context) {
 	state, err := a.engineState(ctx)
 	up := err == nil
 	a.announce(state, up)
 	replicas := a.replicas()
 	for _, r := range replicas {
-		if up && a.isDue(state, r) {
-			a.ask(ctx, id.Rollout(r.Rollout.GetId()))
+		if up && a.isLoadDue(state, r) {
+			a.requestTurn(ctx, id.Rollout(r.Rollout.GetId()))
 		}
 	}
-	a.publish(state, up, replicas)
+	a.reportStatus(state, up, replicas)
 }
 
-func keyOf(r *pb.Rollout) modelKey {
+func modelKeyOf(r *pb.Rollout) modelKey {
 	return modelKey{organisation: id.Organisation(r.GetOrganisation()), model: id.Model(r.GetVersion().GetModel())}
 }
 
-// loadedRollout finds the rollout whose exact content the engine says it has loaded for a model.
+// loadedRollout returns the rollout with exactly the content that the engine has loaded for a model, or nil.
 func (a *Activator) loadedRollout(l engine.Loaded) *pb.Rollout {
 	for _, r := range a.config().Rollouts() {
 		v := r.GetVersion()
@@ -93,33 +96,33 @@
 	return nil
 }
 
-// announce makes the live versions those that the engine has ready, and no other.
+// announce makes exactly those versions live that the engine reports as ready.
 func (a *Activator) announce(s engine.State, up bool) {
 	ready := map[modelKey]bool{}
 	for _, l := range s.Models {
 		r := a.loadedRollout(l)
-		if !up || l.Status != engine.StatusReady || r == nil || a.leaves(r) {
+		if !up || l.Status != engine.StatusReady || r == nil || a.isCancelled(r) {
 			continue
 		}
-		ready[keyOf(r)] = true
-		if a.live.Announce(keyOf(r), l.Version, id.Rollout(r.GetId())) {
-			a.event(kernel.EventVersionLive, r, "")
+		ready[modelKeyOf(r)] = true
+		if a.live.Announce(modelKeyOf(r), l.Version, id.Rollout(r.GetId())) {
+			a.addEvent(kernel.EventVersionLive, r, "")
 		}
 	}
 	for _, v := range a.live.List() {
 		k := modelKey{organisation: id.Organisation(v.GetOrganisation()), model: id.Model(v.GetModel())}
 		if !ready[k] && a.live.Withdraw(k) {
-			a.event(kernel.EventVersionLost, a.config().Rollout(id.Rollout(v.GetRollout())), "the engine no longer serves it")
+			a.addEvent(kernel.EventVersionLost, a.config().Rollout(id.Rollout(v.GetRollout())), "the engine no longer serves it")
 		}
 	}
 }
 
-// leaves says whether a rollout's version may no longer be served at all.
-func (a *Activator) leaves(r *pb.Rollout) bool {
+// isCancelled reports whether a rollout is cancelled, so that its version may no longer be served.
+func (a *Activator) isCancelled(r *pb.Rollout) bool {
 	return r.GetState() == pb.RolloutState_ROLLOUT_STATE_CANCELLED
 }
 
-func (a *Activator) event(k kernel.EventKind, r *pb.Rollout, detail string) {
+func (a *Activator) addEvent(k kernel.EventKind, r *pb.Rollout, detail string) {
 	if r == nil {
 		return
 	}
@@ -128,38 +131,39 @@
 	})
 }
 
-// ask asks for a rollout's turn, once at a time.
-func (a *Activator) ask(ctx context.Context, r id.Rollout) {
-	if a.asking[r] {
+// requestTurn requests a rollout's turn to swap in the background, unless a request is pending.
+func (a *Activator) requestTurn(ctx context.Context, r id.Rollout) {
+	if a.pendingTurns[r] {
 		return
 	}
-	a.asking[r] = true
+	a.pendingTurns[r] = true
 	go func() {
-		ok := a.askTurn(ctx, r)
+		ok := a.acquireTurn(ctx, r)
 		select {
-		case a.granted <- turn{rollout: r, ok: ok}:
+		case a.turnResults <- turnResult{rollout: r, granted: ok}:
 		case <-ctx.Done():
 		}
 	}()
 }
 
-// HandleTurn carries out a turn, if it was given and the load is still due.
-func (a *Activator) HandleTurn(ctx context.Context, t turn) {
-	delete(a.asking, t.rollout)
+// HandleTurn swaps to a rollout's version if its turn was granted and the load is still due.
+func (a *Activator) HandleTurn(ctx context.Context, t turnResult) {
+	delete(a.pendingTurns, t.rollout)
 	state, err := a.engineState(ctx)
-	if !t.ok || err != nil {
+	if !t.granted || err != nil {
 		return
 	}
 	replicas := a.replicas()
 	for _, p := range replicas {
-		if id.Rollout(p.Rollout.GetId()) == t.rollout && a.isDue(state, p) {
+		if id.Rollout(p.Rollout.GetId()) == t.rollout && a.isLoadDue(state, p) {
 			a.swap(ctx, state, p, replicas)
 		}
 	}
 }
 
-// isDue says whether a version is whole and the engine has nothing newer.
-func (a *Activator) isDue(s engine.State, p transfer.Replica) bool {
+// isLoadDue reports whether a version is completely downloaded and the engine has neither it nor a newer one, or failed to
+// load it and may retry.
+func (a *Activator) isLoadDue(s engine.State, p transfer.Replica) bool {
 	r := p.Rollout
 	if !p.Complete {
 		return false
@@ -169,38 +173,38 @@
 		return true
 	}
 	failed := l.Fence == id.Fence(r.GetFence()) && l.Status == engine.StatusFailed
-	return failed && time.Now().After(a.retry[id.Rollout(r.GetId())])
+	return failed && time.Now().After(a.retryAt[id.Rollout(r.GetId())])
 }
 
-// noteLoad sets the pause before a load that failed is ordered again: it doubles with each failure.
-func (a *Activator) noteLoad(r id.Rollout) {
-	a.retry[r] = time.Now().Add(min(loadRetry<<min(a.failed[r], maxLoadDoublings), loadRetryMost))
-	a.failed[r]++
+// scheduleRetry sets the delay before a failed load is ordered again. The delay doubles with each failure.
+func (a *Activator) scheduleRetry(r id.Rollout) {
+	a.retryAt[r] = time.Now().Add(min(loadRetryDelay<<min(a.failedLoads[r], maxLoadDoublings), maxLoadRetryDelay))
+	a.failedLoads[r]++
 }
 
 const (
-	// loadRetry is the pause after the first order, loadRetryMost the longest one.
-	loadRetry        = 500 * time.Millisecond
-	loadRetryMost    = 30 * time.Second
-	maxLoadDoublings = 6
+	// loadRetryDelay is the delay after the first order, and maxLoadRetryDelay the upper bound of the backoff.
+	loadRetryDelay    = 500 * time.Millisecond
+	maxLoadRetryDelay = 30 * time.Second
+	maxLoadDoublings  = 6
 )
 
-// swap takes the old version out of service, says so, waits for the requests on it, and orders the load.
+// swap takes the old version out of service, reports it, waits for the requests on the old version, and orders the load.
 func (a *Activator) swap(ctx context.Context, s engine.State, p transfer.Replica, all []transfer.Replica) {
 	r := p.Rollout
-	k := keyOf(r)
+	k := modelKeyOf(r)
 	a.swapping[id.Rollout(r.GetId())] = true
 	if old := a.live.Rollout(k); old != "" && a.live.Withdraw(k) {
-		a.event(kernel.EventVersionLost, a.config().Rollout(old), "swap to "+r.GetVersion().GetName())
+		a.addEvent(kernel.EventVersionLost, a.config().Rollout(old), "swap to "+r.GetVersion().GetName())
 	}
-	a.publish(s, true, all)
-	ctx, stop := context.WithTimeout(ctx, drainForSwap)
+	a.reportStatus(s, true, all)
+	ctx, stop := context.WithTimeout(ctx, swapDrainTimeout)
 	defer stop()
 	a.live.WaitIdle(ctx, k)
-	a.order(ctx, r)
+	a.orderLoad(ctx, r)
 }
 
-func (a *Activator) order(ctx context.Context, r *pb.Rollout) {
+func (a *Activator) orderLoad(ctx context.Context, r *pb.Rollout) {
 	v := r.GetVersion()
 	err := a.load(ctx, engine.Order{
 		Organisation: id.Organisation(r.GetOrganisation()), Model: id.Model(v.GetModel()),
@@ -211,34 +215,34 @@
 	})
 	switch {
 	case errors.Is(err, engine.ErrFenced):
-		a.event(kernel.EventLoadRefused, r, "the engine has obeyed a later order")
+		a.addEvent(kernel.EventLoadRefused, r, "the engine has obeyed a later order")
 	case err != nil:
-		a.log.Warn().Err(err).Str("rollout", r.GetId()).Msg("the engine took no order")
+		a.log.Warn().Err(err).Str("rollout", r.GetId()).Msg("the engine did not accept the order to load")
 	default:
-		a.noteLoad(id.Rollout(r.GetId()))
-		a.event(kernel.EventLoadOrdered, r, "")
+		a.scheduleRetry(id.Rollout(r.GetId()))
+		a.addEvent(kernel.EventLoadOrdered, r, "")
 	}
 }
 
-// publish reports the status if it differs from the last one.
-func (a *Activator) publish(s engine.State, up bool, replicas []transfer.Replica) {
+// reportStatus reports the status if it differs from the last one reported.
+func (a *Activator) reportStatus(s engine.State, up bool, replicas []transfer.Replica) {
 	next := &pb.VMStatus{
 		Live: a.live.List(), UpstreamUp: up,
 		Load: &pb.Load{Running: uint32(s.Load.Running), Queued: uint32(s.Load.Queued), Capacity: uint32(s.Load.Capacity)},
 	}
 	for _, r := range replicas {
-		next.Replicas = append(next.Replicas, a.progress(s, r))
+		next.Replicas = append(next.Replicas, a.replicaProgress(s, r))
 	}
-	if a.reported != nil && sameStatus(next, a.reported) {
+	if a.lastReported != nil && sameStatus(next, a.lastReported) {
 		return
 	}
-	a.reported = next
+	a.lastReported = next
 	a.report(func(m *pb.VMStatus) {
 		m.Live, m.UpstreamUp, m.Load, m.Replicas = next.GetLive(), next.GetUpstreamUp(), next.GetLoad(), next.GetReplicas()
 	})
 }
 
-func (a *Activator) progress(s engine.State, p transfer.Replica) *pb.ReplicaProgress {
+func (a *Activator) replicaProgress(s engine.State, p transfer.Replica) *pb.ReplicaProgress {
 	r := p.Rollout
 	m := &pb.ReplicaProgress{
 		Rollout: r.GetId(), Organisation: r.GetOrganisation(), State: pb.ReplicaState_REPLICA_STATE_FETCHING,
@@ -258,7 +262,7 @@
 	case engine.StatusReady:
 		m.State, m.Reason = pb.ReplicaState_REPLICA_STATE_READY, ""
 		delete(a.swapping, id.Rollout(r.GetId()))
-		delete(a.failed, id.Rollout(r.GetId()))
+		delete(a.failedLoads, id.Rollout(r.GetId()))
 	case engine.StatusLoading:
 		m.State, m.Reason = pb.ReplicaState_REPLICA_STATE_LOADING, "the engine loads"
 	case engine.StatusFailed:
@@ -267,7 +271,7 @@
 	return m
 }
 
-// sameStatus compares what others decide by; chunk counts only in steps.
+// sameStatus compares the fields that other processes act on, and chunk counts only in steps.
 func sameStatus(a, b *pb.VMStatus) bool {
 	if a.GetUpstreamUp() != b.GetUpstreamUp() || !slices.EqualFunc(a.GetLive(), b.GetLive(), sameLive) {
 		return false
@@ -281,10 +285,10 @@
 
 func sameReplica(a, b *pb.ReplicaProgress) bool {
 	return a.GetRollout() == b.GetRollout() && a.GetState() == b.GetState() && a.GetReason() == b.GetReason() &&
-		step(a) == step(b)
+		progressStep(a) == progressStep(b)
 }
 
-func step(p *pb.ReplicaProgress) uint32 {
+func progressStep(p *pb.ReplicaProgress) uint32 {
 	if p.GetChunksTotal() == 0 {
 		return 0
 	}
--- a/internal/upstream/answer.go
+++ b/internal/upstream/answer.go
@@ -11,23 +11,24 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// answer sends one request's answer to the entry, and keeps it where a later send of the same key may ask for it.
-type answer struct {
+// responseStream sends a request's response to the entry VM, and records it if the request has an idempotency key, so that a
+// retry of the same key gets the same response.
+type responseStream struct {
 	request *pb.RunRequest
-	out     *connect.ServerStream[pb.RunResponse]
+	stream  *connect.ServerStream[pb.RunResponse]
 	vm      id.VM
 	version id.Version
 	bytes   uint64
-	record  *onceEntry
+	record  *idempotencyRecord
 }
 
-func (a *answer) send(p *pb.RunResponse) error {
+func (a *responseStream) send(p *pb.RunResponse) error {
 	p = &pb.RunResponse{RequestId: a.request.GetRequestId(), Part: p.GetPart()}
-	return a.out.Send(p)
+	return a.stream.Send(p)
 }
 
-// sendKept sends a part and keeps it. A caller that has gone does not end a recorded request.
-func (a *answer) sendKept(p *pb.RunResponse) error {
+// sendRecorded sends a part of the response and records it. A caller that has disconnected doesn't abort a recorded request.
+func (a *responseStream) sendRecorded(p *pb.RunResponse) error {
 	if a.record == nil {
 		return a.send(p)
 	}
@@ -36,58 +37,58 @@
 	return nil
 }
 
-func (a *answer) head(got *http.Response) error {
-	return a.sendKept(&pb.RunResponse{Part: &pb.RunResponse_Head{Head: &pb.RunHead{
+func (a *responseStream) sendHead(got *http.Response) error {
+	return a.sendRecorded(&pb.RunResponse{Part: &pb.RunResponse_Head{Head: &pb.RunHead{
 		Status: uint32(got.StatusCode), ContentType: got.Header.Get("Content-Type"), Version: string(a.version),
 		Rollout: a.request.GetRollout(), Vm: string(a.vm),
 	}}})
 }
 
-func (a *answer) data(b []byte) error {
+func (a *responseStream) sendData(b []byte) error {
 	if len(b) == 0 {
 		return nil
 	}
 	a.bytes += uint64(len(b))
-	return a.sendKept(&pb.RunResponse{Part: &pb.RunResponse_Data{Data: slices.Clone(b)}})
+	return a.sendRecorded(&pb.RunResponse{Part: &pb.RunResponse_Data{Data: slices.Clone(b)}})
 }
 
-func (a *answer) end(l *pb.Load) error {
+func (a *responseStream) sendEnd(l *pb.Load) error {
 	if a.record != nil {
-		a.record.finish(onceDone)
+		a.record.setState(recordDone)
 	}
-	return a.sendKept(&pb.RunResponse{Part: &pb.RunResponse_End{End: &pb.RunEnd{Load: l, Bytes: a.bytes}}})
+	return a.sendRecorded(&pb.RunResponse{Part: &pb.RunResponse_End{End: &pb.RunEnd{Load: l, Bytes: a.bytes}}})
 }
 
-// fail says that the request may have run and that its answer is not whole.
-func (a *answer) fail(detail string) error {
+// sendFailed reports that the request may have run and that its response is incomplete.
+func (a *responseStream) sendFailed(detail string) error {
 	if a.record != nil {
-		a.record.finish(onceUnknown)
+		a.record.setState(recordUnknown)
 	}
 	return a.send(&pb.RunResponse{Part: &pb.RunResponse_Failed{Failed: &pb.RunFailed{Detail: detail}}})
 }
 
-// notRun forgets the record, so that the key may run later.
-func (a *answer) notRun() {
+// markNotRun marks the record of the request as not run, so that the key can be used again.
+func (a *responseStream) markNotRun() {
 	if a.record != nil {
-		a.record.finish(onceNotRun)
+		a.record.setState(recordNotRun)
 	}
 }
 
-// doneMark ends a stream of server-sent events.
-var doneMark = []byte("data: [DONE]")
+// streamEndMarker ends a complete stream of server-sent events.
+var streamEndMarker = []byte("data: [DONE]")
 
-// endCheck looks for the end mark in the last bytes of a stream.
-type endCheck struct {
+// streamEndDetector checks whether a stream ends with streamEndMarker. It keeps only the last bytes.
+type streamEndDetector struct {
 	tail []byte
 }
 
-func (c *endCheck) write(b []byte) {
+func (c *streamEndDetector) write(b []byte) {
 	c.tail = append(c.tail, b...)
-	if extra := len(c.tail) - 2*len(doneMark); extra > 0 {
+	if extra := len(c.tail) - 2*len(streamEndMarker); extra > 0 {
 		c.tail = append(c.tail[:0], c.tail[extra:]...)
 	}
 }
 
-func (c *endCheck) ended() bool {
-	return bytes.HasSuffix(bytes.TrimSpace(c.tail), doneMark)
+func (c *streamEndDetector) hasEndMarker() bool {
+	return bytes.HasSuffix(bytes.TrimSpace(c.tail), streamEndMarker)
 }
--- a/internal/upstream/idempotency.go
+++ b/internal/upstream/idempotency.go
@@ -8,94 +8,94 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// onceKept is how long the outcome of a request that may not be repeated is kept.
-const onceKept = 10 * time.Minute
+// outcomeRetention is how long the outcome of a non-repeatable request is kept.
+const outcomeRetention = 10 * time.Minute
 
-// onceState is where a recorded request stands.
-type onceState int
+// recordState is the state of a recorded request.
+type recordState int
 
 const (
-	onceRunning onceState = iota
-	onceDone
-	onceUnknown
-	onceNotRun
+	recordRunning recordState = iota
+	recordDone
+	recordUnknown
+	recordNotRun
 )
 
-// onceKey names a request that may run at most once.
-type onceKey struct {
+// idempotencyKey identifies a request that may run at most once.
+type idempotencyKey struct {
 	organisation id.Organisation
 	key          string
 }
 
-// onceEntry is a recorded request and its answer.
-type onceEntry struct {
-	mu      sync.Mutex
-	state   onceState
-	parts   []*pb.RunResponse
-	expires time.Time
+// idempotencyRecord is a recorded request and its response.
+type idempotencyRecord struct {
+	mu        sync.Mutex
+	state     recordState
+	responses []*pb.RunResponse
+	expires   time.Time
 }
 
-func (e *onceEntry) add(p *pb.RunResponse) {
+func (e *idempotencyRecord) add(p *pb.RunResponse) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.parts = append(e.parts, p)
+	e.responses = append(e.responses, p)
 }
 
-func (e *onceEntry) finish(s onceState) {
+func (e *idempotencyRecord) setState(s recordState) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.state = s
 }
 
-func (e *onceEntry) read() (onceState, []*pb.RunResponse) {
+func (e *idempotencyRecord) snapshot() (recordState, []*pb.RunResponse) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.state, e.parts
+	return e.state, e.responses
 }
 
-// IdempotencyCache remembers the outcomes of requests that may not be repeated, by organisation and idempotency key.
+// IdempotencyCache keeps the outcomes of non-repeatable requests by organisation and idempotency key.
 type IdempotencyCache struct {
-	now     func() time.Time
-	mu      sync.Mutex
-	entries map[onceKey]*onceEntry
-	swept   time.Time
+	now       func() time.Time
+	mu        sync.Mutex
+	records   map[idempotencyKey]*idempotencyRecord
+	lastSweep time.Time
 }
 
-// NewIdempotencyCache makes an empty memory.
+// NewIdempotencyCache returns an empty cache.
 func NewIdempotencyCache(now func() time.Time) *IdempotencyCache {
-	return &IdempotencyCache{now: now, entries: map[onceKey]*onceEntry{}, swept: now()}
+	return &IdempotencyCache{now: now, records: map[idempotencyKey]*idempotencyRecord{}, lastSweep: now()}
 }
 
-// begin claims a key. It returns the entry and whether the caller is the first and has to run the request.
-func (o *IdempotencyCache) begin(k onceKey) (*onceEntry, bool) {
+// claim returns the record of a key, and whether it is new, so that the caller has to run the request.
+func (o *IdempotencyCache) claim(k idempotencyKey) (*idempotencyRecord, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.sweep()
-	if e := o.entries[k]; e != nil {
+	o.removeExpired()
+	if e := o.records[k]; e != nil {
 		return e, false
 	}
-	e := &onceEntry{expires: o.now().Add(onceKept)}
-	o.entries[k] = e
+	e := &idempotencyRecord{expires: o.now().Add(outcomeRetention)}
+	o.records[k] = e
 	return e, true
 }
 
-// end forgets an entry that was proved not run.
-func (o *IdempotencyCache) end(k onceKey, e *onceEntry) {
+// removeIfNotRun removes the record of a request that was proved not to have run.
+func (o *IdempotencyCache) removeIfNotRun(k idempotencyKey, e *idempotencyRecord) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if state, _ := e.read(); state == onceNotRun {
-		delete(o.entries, k)
+	if state, _ := e.snapshot(); state == recordNotRun {
+		delete(o.records, k)
 	}
 }
 
-func (o *IdempotencyCache) sweep() {
-	if o.now().Sub(o.swept) < onceKept/10 {
+func (o *IdempotencyCache) removeExpired() {
+	if o.now().Sub(o.lastSweep) < outcomeRetention/10 {
 		return
 	}
-	o.swept = o.now()
-	for k, e := range o.entries {
-		if state, _ := e.read(); state != onceRunning && o.now().After(e.expires) {
-			delete(o.entries, k)
+	o.lastSweep = o.now()
+	for k, e := range o.records {
+		if state, _ := e.snapshot(); state != recordRunning && o.now().After(e.expires) {
+			delete(o.records, k)
 		}
 	}
 }
--- a/internal/upstream/live.go
+++ b/internal/upstream/live.go
@@ -1,5 +1,5 @@
-// Package upstream is an agent's side towards the upstream on its VM: it orders a model engine to load versions,
-// announces what the engine serves, and is the only door through which requests reach the upstream.
+// Package upstream connects an agent with the upstream on its VM. It orders a model engine to load versions, announces which
+// versions the engine serves, and is the only path by which requests reach the upstream.
 package upstream
 
 import (
@@ -12,33 +12,33 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// modelKey names a model of an organisation.
+// modelKey identifies a model of an organisation.
 type modelKey struct {
 	organisation id.Organisation
 	model        id.Model
 }
 
-// liveModel is a version that the engine serves and the requests that run on it.
+// liveModel is a version that the engine serves, with the number of requests that run on it.
 type liveModel struct {
 	version  id.Version
 	rollout  id.Rollout
 	inFlight int
 }
 
-// LiveVersions is what the engine serves and what runs on it. A request holds its version from Acquire to leave, and a swap
-// waits until no request holds the version that it takes away.
+// LiveVersions tracks the versions that the engine serves and the requests that run on them. A request holds its version from
+// Acquire until release, and a swap waits until no request holds the version that it replaces.
 type LiveVersions struct {
-	mu     sync.Mutex
-	models map[modelKey]*liveModel
-	idle   chan struct{}
+	mu       sync.Mutex
+	models   map[modelKey]*liveModel
+	released chan struct{}
 }
 
-// NewLiveVersions makes an empty one.
+// NewLiveVersions returns a tracker without live versions.
 func NewLiveVersions() *LiveVersions {
-	return &LiveVersions{models: map[modelKey]*liveModel{}, idle: make(chan struct{})}
+	return &LiveVersions{models: map[modelKey]*liveModel{}, released: make(chan struct{})}
 }
 
-// Announce makes a version live and says whether that is new.
+// Announce makes a version of a model live, and reports whether it was not live before.
 func (l *LiveVersions) Announce(k modelKey, v id.Version, r id.Rollout) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +49,8 @@
 	return true
 }
 
-// Withdraw ends a model's live version; requests that hold it go on. It says whether there was one.
+// Withdraw takes a model's live version out of service and reports whether there was one. Requests that hold the version
+// continue.
 func (l *LiveVersions) Withdraw(k modelKey) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,7 +65,7 @@
 	return true
 }
 
-// Rollout returns the rollout that is live for a model, or nothing.
+// Rollout returns the rollout whose version is live for a model, or "".
 func (l *LiveVersions) Rollout(k modelKey) id.Rollout {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,8 +75,8 @@
 	return ""
 }
 
-// Acquire holds a model's live version for a request if it is of the wanted rollout.
-func (l *LiveVersions) Acquire(k modelKey, r id.Rollout) (v id.Version, leave func(), ok bool) {
+// Acquire holds a model's live version for a request if the version is of the requested rollout.
+func (l *LiveVersions) Acquire(k modelKey, r id.Rollout) (v id.Version, release func(), ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := l.models[k]
@@ -83,10 +84,10 @@
 		return "", nil, false
 	}
 	m.inFlight++
-	return m.version, func() { l.leave(k, m) }, true
+	return m.version, func() { l.release(k, m) }, true
 }
 
-func (l *LiveVersions) leave(k modelKey, m *liveModel) {
+func (l *LiveVersions) release(k modelKey, m *liveModel) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m.inFlight--
@@ -96,15 +97,15 @@
 	if m.rollout == "" && l.models[k] == m {
 		delete(l.models, k)
 	}
-	close(l.idle)
-	l.idle = make(chan struct{})
+	close(l.released)
+	l.released = make(chan struct{})
 }
 
-// WaitIdle waits until no request holds a withdrawn model, or the context ends.
+// WaitIdle waits until no request holds a version of the model. It returns false if the context ends first.
 func (l *LiveVersions) WaitIdle(ctx context.Context, k modelKey) bool {
 	for {
 		l.mu.Lock()
-		m, idle := l.models[k], l.idle
+		m, released := l.models[k], l.released
 		busy := m != nil && m.inFlight > 0
 		l.mu.Unlock()
 		if !busy {
@@ -113,12 +114,12 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-idle:
+		case <-released:
 		}
 	}
 }
 
-// List returns the live versions by organisation and model.
+// List returns the live versions, sorted by organisation and model.
 func (l *LiveVersions) List() []*pb.LiveVersion {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/upstream/live_test.go
+++ b/internal/upstream/live_test.go
@@ -19,30 +19,30 @@
 var _ = Describe("a live version", func() {
 	k := modelKey{organisation: "gym", model: "desk"}
 
-	It("is held by its requests: a swap waits for them, and takes no new ones", func() {
+	It("is held by its requests until they end, and admits no new ones once withdrawn", func() {
 		l := NewLiveVersions()
 		l.Announce(k, "v1", "r1")
 		var wait sync.WaitGroup
 		for range 8 {
-			_, leave, ok := l.Acquire(k, "r1")
+			_, release, ok := l.Acquire(k, "r1")
 			Expect(ok).To(BeTrue())
 			wait.Go(func() {
 				time.Sleep(20 * time.Millisecond)
-				leave()
+				release()
 			})
 		}
 		Expect(l.Withdraw(k)).To(BeTrue())
 		_, _, ok := l.Acquire(k, "r1")
 		Expect(ok).To(BeFalse())
 		Expect(l.List()).To(BeEmpty())
-		short, stop := context.WithTimeout(context.Background(), time.Millisecond)
+		shortCtx, stop := context.WithTimeout(context.Background(), time.Millisecond)
 		defer stop()
-		Expect(l.WaitIdle(short, k)).To(BeFalse())
+		Expect(l.WaitIdle(shortCtx, k)).To(BeFalse())
 		Expect(l.WaitIdle(context.Background(), k)).To(BeTrue())
 		wait.Wait()
 	})
 
-	It("is not entered for another rollout", func() {
+	It("is not acquired for another rollout", func() {
 		l := NewLiveVersions()
 		l.Announce(k, "v2", "r2")
 		_, _, ok := l.Acquire(k, "r1")
@@ -50,28 +50,28 @@
 	})
 })
 
-var _ = Describe("a key", func() {
-	It("is claimed once, kept for its time, and free again where nothing ran", func() {
+var _ = Describe("an idempotency key", func() {
+	It("is claimed once, retained for a limited time, and available again when its request was not run", func() {
 		now := time.Unix(0, 0)
 		o := NewIdempotencyCache(func() time.Time { return now })
-		k := onceKey{organisation: "gym", key: "k"}
-		e, first := o.begin(k)
+		k := idempotencyKey{organisation: "gym", key: "k"}
+		e, first := o.claim(k)
 		Expect(first).To(BeTrue())
-		_, again := o.begin(k)
+		_, again := o.claim(k)
 		Expect(again).To(BeFalse())
-		_, other := o.begin(onceKey{organisation: "hut", key: "k"})
-		Expect(other).To(BeTrue(), "organisations do not meet")
-		e.finish(onceNotRun)
-		o.end(k, e)
-		e, first = o.begin(k)
+		_, other := o.claim(idempotencyKey{organisation: "hut", key: "k"})
+		Expect(other).To(BeTrue(), "the same key of another organisation")
+		e.setState(recordNotRun)
+		o.removeIfNotRun(k, e)
+		e, first = o.claim(k)
 		Expect(first).To(BeTrue())
-		e.finish(onceDone)
-		o.end(k, e)
-		now = now.Add(onceKept - time.Second)
-		_, first = o.begin(k)
+		e.setState(recordDone)
+		o.removeIfNotRun(k, e)
+		now = now.Add(outcomeRetention - time.Second)
+		_, first = o.claim(k)
 		Expect(first).To(BeFalse())
-		now = now.Add(2 * onceKept)
-		_, first = o.begin(k)
+		now = now.Add(2 * outcomeRetention)
+		_, first = o.claim(k)
 		Expect(first).To(BeTrue())
 	})
 })
--- a/internal/upstream/part.go
+++ b/internal/upstream/part.go
@@ -18,13 +18,13 @@
 	"github.com/springrail/springrail/internal/transfer"
 )
 
-// PartName is what other parts name in their needs.
+// PartName is the name by which other parts depend on this one.
 const PartName = "upstream"
 
 // Settings is the section [upstream].
 type Settings struct {
 	URL string `toml:"url"`
-	// Local is the agent's listener for its own upstream, on the VM's loopback.
+	// Local is the loopback address on which the agent serves weights to the engine on the same VM.
 	Local    string        `toml:"local"`
 	Capacity int           `toml:"capacity"`
 	Poll     time.Duration `toml:"poll"`
@@ -51,7 +51,7 @@
 	})
 }
 
-// Part is the agent's side towards its upstream.
+// Part connects the agent with the upstream on its VM.
 type Part struct {
 	*RequestHandler
 	activator *Activator
@@ -74,30 +74,30 @@
 	live := NewLiveVersions()
 	p := &Part{settings: s, client: client, follower: f, manager: m, local: l}
 	p.RequestHandler = &RequestHandler{
-		vm: h.Identity.VM, engine: f.Self().GetEngine(), capacity: s.Capacity, live: live, once: NewIdempotencyCache(time.Now),
-		events: h.Events, send: client.Send, url: client.URL, finished: make(chan struct{}),
+		vm: h.Identity.VM, hasEngine: f.Self().GetEngine(), capacity: s.Capacity, live: live, idempotency: NewIdempotencyCache(time.Now),
+		events: h.Events, send: client.Send, url: client.URL, drained: make(chan struct{}),
 	}
 	a := NewActivator(live, h.Log, h.Events)
 	a.engineState, a.load, a.replicas, a.config = client.State, client.Load, m.Replicas, f.State
-	a.askTurn, a.report, a.localURL = f.RequestSwapPermit, f.UpdateStatus, "http://"+l.Addr().String()
+	a.acquireTurn, a.report, a.localURL = f.RequestSwapPermit, f.UpdateStatus, "http://"+l.Addr().String()
 	p.activator = a
 	r := h.Part(rpc.PartName).(*rpc.Server)
 	r.Handle(springrailv1connect.NewUpstreamServiceHandler(p.RequestHandler))
 	return p, nil
 }
 
-// Run watches the upstream until the context ends.
+// Run monitors the upstream until the context ends.
 func (p *Part) Run(ctx context.Context) error {
 	go p.serveLocal(ctx)
 	for ctx.Err() == nil {
-		if p.engine {
+		if p.hasEngine {
 			p.activator.Reconcile(ctx)
 		} else {
-			p.watchService(ctx)
+			p.checkHealth(ctx)
 		}
 		select {
 		case <-ctx.Done():
-		case t := <-p.activator.granted:
+		case t := <-p.activator.turnResults:
 			p.activator.HandleTurn(ctx, t)
 		case <-time.After(p.settings.Poll):
 		}
@@ -105,20 +105,20 @@
 	return nil
 }
 
-// Drain tells the entries first, then waits for the requests in flight.
+// Drain announces to the entry VMs that this VM is leaving, and then waits for the requests in flight.
 func (p *Part) Drain(ctx context.Context) {
 	p.follower.UpdateStatus(func(s *pb.VMStatus) { s.Leaving = true })
 	p.RequestHandler.Drain(ctx)
 }
 
-func (p *Part) watchService(ctx context.Context) {
+func (p *Part) checkHealth(ctx context.Context) {
 	up := p.client.Healthy(ctx)
 	if up != p.follower.Status().GetUpstreamUp() {
 		p.follower.UpdateStatus(func(s *pb.VMStatus) { s.UpstreamUp = up })
 	}
 }
 
-// serveLocal gives the engine the content that it is ordered to load.
+// serveLocal serves the manifest and the content of versions to the engine.
 func (p *Part) serveLocal(ctx context.Context) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /local/{rollout}/manifest", func(w http.ResponseWriter, r *http.Request) {
--- a/internal/upstream/request_handler.go
+++ b/internal/upstream/request_handler.go
@@ -20,32 +20,33 @@
 )
 
 const (
-	// leastRemaining is the time below which a request is not started.
-	leastRemaining = 10 * time.Millisecond
-	// fullRetry is when a caller refused for lack of room may come back.
-	fullRetry = 500 * time.Millisecond
-	// readBytes is the buffer for an answer.
-	readBytes = 16 << 10
+	// minRemaining is the minimum of remaining time with which a request is started.
+	minRemaining = 10 * time.Millisecond
+	// refusalRetryAfter is the time after which a refused caller may retry.
+	refusalRetryAfter = 500 * time.Millisecond
+	// bufferBytes is the size of the buffer for a response.
+	bufferBytes = 16 << 10
 )
 
-// RequestHandler lets requests through to the upstream, one whole answer each, or says that a request was not run.
+// RequestHandler forwards requests to the upstream and returns the complete response to each, or reports that the request was
+// not run.
 type RequestHandler struct {
-	vm       id.VM
-	engine   bool
-	capacity int
-	live     *LiveVersions
-	once     *IdempotencyCache
-	events   *kernel.EventRing
-	send     func(r *http.Request, repeatable bool) (*http.Response, error)
-	url      func(path string) string
-
-	mu       sync.Mutex
-	running  int
-	leaving  bool
-	finished chan struct{}
+	vm          id.VM
+	hasEngine   bool
+	capacity    int
+	live        *LiveVersions
+	idempotency *IdempotencyCache
+	events      *kernel.EventRing
+	send        func(r *http.Request, repeatable bool) (*http.Response, error)
+	url         func(path string) string
+
+	mu      sync.Mutex
+	running int
+	leaving bool
+	drained chan struct{}
 }
 
-// refusal is why a request is not run.
+// refusal is the reason for which a request is not run.
 type refusal struct {
 	reason pb.RefusalReason
 	detail string
@@ -53,21 +54,21 @@
 
 // Run implements the upstream service.
 func (d *RequestHandler) Run(ctx context.Context, r *pb.RunRequest, out *connect.ServerStream[pb.RunResponse]) error {
-	a := &answer{request: r, out: out, vm: d.vm}
+	a := &responseStream{request: r, stream: out, vm: d.vm}
 	remaining := time.Duration(r.GetRemainingMs()) * time.Millisecond
 	ctx, stop := context.WithTimeout(ctx, remaining)
 	defer stop()
-	if f := d.enter(remaining); f != nil {
+	if f := d.admit(remaining); f != nil {
 		return d.refuse(a, f)
 	}
-	defer d.exit()
-	if d.engine {
+	defer d.finishRequest()
+	if d.hasEngine {
 		k := modelKey{organisation: id.Organisation(r.GetOrganisation()), model: id.Model(r.GetModel())}
-		v, leave, ok := d.live.Acquire(k, id.Rollout(r.GetRollout()))
+		v, release, ok := d.live.Acquire(k, id.Rollout(r.GetRollout()))
 		if !ok {
 			return d.refuse(a, &refusal{reason: pb.RefusalReason_REFUSAL_REASON_NOT_LIVE, detail: "version not live here"})
 		}
-		defer leave()
+		defer release()
 		a.version = v
 	}
 	if r.GetIdempotencyKey() != "" && !r.GetRepeatable() {
@@ -76,13 +77,13 @@
 	return d.run(ctx, a)
 }
 
-func (d *RequestHandler) enter(remaining time.Duration) *refusal {
+func (d *RequestHandler) admit(remaining time.Duration) *refusal {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
 	case d.leaving:
 		return &refusal{reason: pb.RefusalReason_REFUSAL_REASON_LEAVING, detail: "the VM is leaving"}
-	case remaining < leastRemaining:
+	case remaining < minRemaining:
 		return &refusal{reason: pb.RefusalReason_REFUSAL_REASON_DEADLINE, detail: "no time left to start"}
 	case d.running >= d.capacity:
 		return &refusal{reason: pb.RefusalReason_REFUSAL_REASON_FULL, detail: "the VM has no room"}
@@ -91,13 +92,13 @@
 	return nil
 }
 
-func (d *RequestHandler) exit() {
+func (d *RequestHandler) finishRequest() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.running--
 	if d.running == 0 {
-		close(d.finished)
-		d.finished = make(chan struct{})
+		close(d.drained)
+		d.drained = make(chan struct{})
 	}
 }
 
@@ -107,14 +108,14 @@
 	return &pb.Load{Running: uint32(d.running), Capacity: uint32(d.capacity)}
 }
 
-// Drain takes no new requests and waits until those in flight have ended.
+// Drain stops admission of requests and waits until those in flight have ended.
 func (d *RequestHandler) Drain(ctx context.Context) {
 	d.mu.Lock()
 	d.leaving = true
 	d.mu.Unlock()
 	for {
 		d.mu.Lock()
-		running, finished := d.running, d.finished
+		running, drained := d.running, d.drained
 		d.mu.Unlock()
 		if running == 0 {
 			return
@@ -122,66 +123,66 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-finished:
+		case <-drained:
 		}
 	}
 }
 
-func (d *RequestHandler) refuse(a *answer, f *refusal) error {
-	d.event(kernel.EventRequestRefused, a.request, f.detail)
+func (d *RequestHandler) refuse(a *responseStream, f *refusal) error {
+	d.addEvent(kernel.EventRequestRefused, a.request, f.detail)
 	return a.send(&pb.RunResponse{Part: &pb.RunResponse_Refused{Refused: &pb.RunRefused{
-		Reason: f.reason, Detail: f.detail, RetryAfterMs: fullRetry.Milliseconds(),
+		Reason: f.reason, Detail: f.detail, RetryAfterMs: refusalRetryAfter.Milliseconds(),
 	}}})
 }
 
-func (d *RequestHandler) event(k kernel.EventKind, r *pb.RunRequest, detail string) {
+func (d *RequestHandler) addEvent(k kernel.EventKind, r *pb.RunRequest, detail string) {
 	d.events.Add(kernel.Event{
 		Kind: k, Organisation: id.Organisation(r.GetOrganisation()), Rollout: id.Rollout(r.GetRollout()),
 		Request: id.Request(r.GetRequestId()), Detail: detail,
 	})
 }
 
-// runOnce runs a request whose key has not been seen, or answers from what the first one left.
-func (d *RequestHandler) runOnce(ctx context.Context, a *answer) error {
-	k := onceKey{organisation: id.Organisation(a.request.GetOrganisation()), key: a.request.GetIdempotencyKey()}
-	e, first := d.once.begin(k)
+// runOnce runs the first request of an idempotency key, and answers later ones from the record of the first.
+func (d *RequestHandler) runOnce(ctx context.Context, a *responseStream) error {
+	k := idempotencyKey{organisation: id.Organisation(a.request.GetOrganisation()), key: a.request.GetIdempotencyKey()}
+	e, first := d.idempotency.claim(k)
 	if !first {
 		return d.replay(a, e)
 	}
 	a.record = e
-	// The request goes on without its caller, so that a later send of the key finds its outcome.
+	// The request continues when its caller disconnects, so that a retry of the same key finds its outcome.
 	deadline, _ := ctx.Deadline()
 	ctx, stop := context.WithDeadline(context.WithoutCancel(ctx), deadline)
 	defer stop()
 	err := d.run(ctx, a)
-	d.once.end(k, e)
+	d.idempotency.removeIfNotRun(k, e)
 	return err
 }
 
-func (d *RequestHandler) replay(a *answer, e *onceEntry) error {
-	switch state, parts := e.read(); state {
-	case onceDone:
-		for _, p := range parts {
+func (d *RequestHandler) replay(a *responseStream, e *idempotencyRecord) error {
+	switch state, responses := e.snapshot(); state {
+	case recordDone:
+		for _, p := range responses {
 			if err := a.send(p); err != nil {
 				return err
 			}
 		}
 		return nil
-	case onceRunning:
+	case recordRunning:
 		return d.refuse(a, &refusal{
 			reason: pb.RefusalReason_REFUSAL_REASON_IN_PROGRESS, detail: "a request of the same key is running",
 		})
 	default:
-		return a.fail("an earlier request of the same key may have run")
+		return a.sendFailed("an earlier request of the same key may have run")
 	}
 }
 
-// run sends the request and passes the answer on. Before Send returns a connection, nothing has been sent.
-func (d *RequestHandler) run(ctx context.Context, a *answer) error {
+// run sends the request and forwards the response. If the upstream accepts no connection, nothing has been sent.
+func (d *RequestHandler) run(ctx context.Context, a *responseStream) error {
 	r := a.request
 	q, err := http.NewRequestWithContext(ctx, r.GetMethod(), d.url(r.GetPath()), bytes.NewReader(r.GetBody()))
 	if err != nil {
-		a.notRun()
+		a.markNotRun()
 		return d.refuse(a, &refusal{reason: pb.RefusalReason_REFUSAL_REASON_UPSTREAM_DOWN, detail: err.Error()})
 	}
 	q.Header.Set("Content-Type", r.GetContentType())
@@ -190,48 +191,48 @@
 	if r.GetIdempotencyKey() != "" {
 		q.Header.Set("Idempotency-Key", r.GetIdempotencyKey())
 	}
-	d.event(kernel.EventRequestRun, r, "")
+	d.addEvent(kernel.EventRequestRun, r, "")
 	got, err := d.send(q, r.GetRepeatable())
 	if err != nil && rpc.NeverConnected(err) {
-		a.notRun()
+		a.markNotRun()
 		return d.refuse(a, &refusal{reason: pb.RefusalReason_REFUSAL_REASON_UPSTREAM_DOWN, detail: "the upstream took no connection"})
 	}
 	if err != nil {
-		return a.fail("no answer from the upstream")
+		return a.sendFailed("no answer from the upstream")
 	}
 	defer got.Body.Close()
-	return d.pass(a, got)
+	return d.forward(a, got)
 }
 
-// pass checks that the answer is of this request and of the announced version, and passes it on.
-func (d *RequestHandler) pass(a *answer, got *http.Response) error {
+// forward checks that the response belongs to this request and is of the announced version, and forwards it.
+func (d *RequestHandler) forward(a *responseStream, got *http.Response) error {
 	if of := got.Header.Get("X-Request-Id"); of != a.request.GetRequestId() {
-		return a.fail(fmt.Sprintf("the upstream's answer is of another request (%q)", of))
+		return a.sendFailed(fmt.Sprintf("the upstream's answer is of another request (%q)", of))
 	}
-	if v := got.Header.Get("X-Model-Version"); d.engine && v != string(a.version) && got.StatusCode == http.StatusOK {
-		return a.fail(fmt.Sprintf("the engine served version %q, not %q", v, a.version))
+	if v := got.Header.Get("X-Model-Version"); d.hasEngine && v != string(a.version) && got.StatusCode == http.StatusOK {
+		return a.sendFailed(fmt.Sprintf("the engine served version %q, not %q", v, a.version))
 	}
-	if err := a.head(got); err != nil {
+	if err := a.sendHead(got); err != nil {
 		return err
 	}
 	streaming := strings.HasPrefix(got.Header.Get("Content-Type"), "text/event-stream")
-	buffer := make([]byte, readBytes)
-	check := endCheck{}
+	buffer := make([]byte, bufferBytes)
+	check := streamEndDetector{}
 	for {
 		n, err := got.Body.Read(buffer)
 		check.write(buffer[:n])
-		if sendErr := a.data(buffer[:n]); sendErr != nil {
+		if sendErr := a.sendData(buffer[:n]); sendErr != nil {
 			return sendErr
 		}
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
-			return a.fail("the upstream's answer broke off")
+			return a.sendFailed("the upstream's answer broke off")
 		}
 	}
-	if streaming && !check.ended() {
-		return a.fail("the upstream's stream ended without its end mark")
+	if streaming && !check.hasEndMarker() {
+		return a.sendFailed("the upstream's stream ended without its end mark")
 	}
-	return a.end(d.load())
+	return a.sendEnd(d.load())
 }
