--- a/internal/upconn/conn.go
+++ b/internal/upconn/conn.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// defaultIdleTimeout is how long an idle connection is kept if the upstream doesn't state its idle timeout. Upstreams
-	// usually have one of some seconds, and a new connection costs about a round trip.
+	// defaultIdleTimeout is how long an idle connection is kept if the upstream doesn't state its idle timeout, and at most
+	// otherwise. Upstreams usually have an idle timeout of some seconds, and a new connection costs about a round trip.
 	defaultIdleTimeout = 3 * time.Second
 	// idleTimeoutMargin is subtracted from the idle timeout that the upstream states, so that no request is sent while the
 	// upstream closes the connection.
--- a/internal/upstream/activator.go
+++ b/internal/upstream/activator.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// isLoadDue reports whether a version is completely downloaded and the engine has neither it nor a newer one, or failed to
-// load it and may retry.
+// isLoadDue reports whether a version is completely downloaded, and the engine either has neither it nor a newer one, or
+// failed to load it and the retry delay has passed.
 func (a *Activator) isLoadDue(s engine.State, p transfer.Replica) bool {
 	r := p.Rollout
 	if !p.Complete {
@@ -176,7 +176,7 @@
 	return failed && time.Now().After(a.retryAt[id.Rollout(r.GetId())])
 }
 
-// scheduleRetry sets the delay before a failed load is ordered again. The delay doubles with each failure.
+// scheduleRetry sets the delay before the load is ordered again if it fails. The delay doubles with each order.
 func (a *Activator) scheduleRetry(r id.Rollout) {
 	a.retryAt[r] = time.Now().Add(min(loadRetryDelay<<min(a.failedLoads[r], maxLoadDoublings), maxLoadRetryDelay))
 	a.failedLoads[r]++
