--- a/internal/fleet/rollout_test.go
+++ b/internal/fleet/rollout_test.go
@@ -164,7 +164,7 @@
 		v, _ := publish(f, "v1", megabyte, 0)
 		Eventually(live(f, "v1"), "20s", "10ms").Should(Equal(4))
 		Expect(loadsOf(f, v)).To(Equal(4), "each engine checked all bytes against the pinned manifest")
-		Expect(f.Platform.Origin.Drawn()).To(BeNumerically("<=", megabyte*11/10))
+		Expect(f.Platform.Origin.BytesSent()).To(BeNumerically("<=", megabyte*11/10))
 		for _, e := range f.Entries {
 			Eventually(func() int { return ask(e, false).status }, "5s", "20ms").Should(Equal(http.StatusOK))
 			a := ask(e, true)
@@ -224,7 +224,7 @@
 		for _, a := range f.Agents[:3] {
 			Expect(contentOf(a, "v1")).To(Equal(content))
 		}
-		Expect(f.Platform.Origin.Drawn()).To(BeNumerically("<=", 3*megabyte), "the budget holds")
+		Expect(f.Platform.Origin.BytesSent()).To(BeNumerically("<=", 3*megabyte), "the budget holds")
 		seen()
 	})
 
@@ -265,7 +265,7 @@
 		Eventually(live(f, "v1"), "20s", "10ms").Should(Equal(2))
 		publish(f, "v2", megabyte, 2)
 		Eventually(live(f, "v2"), "20s", "10ms").Should(Equal(2))
-		drawn := f.Platform.Origin.Drawn()
+		drawn := f.Platform.Origin.BytesSent()
 		Expect(f.Append(&pb.Change{
 			ChangeId: "back", Organisation: fleet.Organisation, BaseRevision: 3,
 			Operation: &pb.Change_CreateRollout{CreateRollout: &pb.CreateRollout{Rollout: &pb.Rollout{
@@ -273,7 +273,7 @@
 			}}},
 		})).To(Succeed())
 		Eventually(live(f, "v1"), "20s", "10ms").Should(Equal(2))
-		Expect(f.Platform.Origin.Drawn()).To(Equal(drawn))
+		Expect(f.Platform.Origin.BytesSent()).To(Equal(drawn))
 	})
 })
 
--- a/internal/measure/burst.go
+++ b/internal/measure/burst.go
@@ -244,7 +244,7 @@
 }
 
 func (w *watch) copies() float64 {
-	return float64(w.fleet.Platform.Origin.Drawn()) / float64(w.plan.SizeBytes)
+	return float64(w.fleet.Platform.Origin.BytesSent()) / float64(w.plan.SizeBytes)
 }
 
 func (w *watch) row() *burstRow {
--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -161,7 +161,7 @@
 }
 
 // Ran checks a run of a request at an upstream.
-func (b *History) Ran(x standin.Ran) {
+func (b *History) Ran(x standin.RequestRun) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.requests[x.Request]
--- a/internal/soak/crasher.go
+++ b/internal/soak/crasher.go
@@ -69,10 +69,10 @@
 
 // crashes makes an upstream end under marked requests, before its answer, after its head or in mid-stream.
 func (s *Slot) crashes(ctx context.Context, m *standin.ModelServer) {
-	m.Crashes = func(body string) (events int, ends bool) {
+	m.CrashPoint = func(body string) (events int, ends bool) {
 		return len(s.id)%3 + standin.BeforeHead, strings.HasPrefix(body, crashMark)
 	}
-	m.Crash = func(body string) {
+	m.OnCrash = func(body string) {
 		s.mu.Lock()
 		l, newest := s.link, s.server == m
 		s.mu.Unlock()
--- a/internal/soak/door.go
+++ b/internal/soak/door.go
@@ -11,7 +11,7 @@
 
 // Door is one process's way to the store.
 type Door struct {
-	*standin.KeyedDoor
+	*standin.KeyedEndpoint
 	link *Link
 	// lossy is how many of ten answers are lost after the call took effect.
 	lossy atomic.Int32
@@ -24,7 +24,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d := &Door{KeyedDoor: s.Door(), link: l}
+	d := &Door{KeyedEndpoint: s.NewEndpoint(), link: l}
 	go func() { _ = standin.ServeOn(ctx, l, d) }()
 	return d, nil
 }
@@ -36,9 +36,9 @@
 func (d *Door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	n := d.calls.Add(1)
 	if n%tenth >= d.lossy.Load() {
-		d.KeyedDoor.ServeHTTP(w, r)
+		d.KeyedEndpoint.ServeHTTP(w, r)
 		return
 	}
-	d.KeyedDoor.ServeHTTP(httptest.NewRecorder(), r)
+	d.KeyedEndpoint.ServeHTTP(httptest.NewRecorder(), r)
 	panic(http.ErrAbortHandler)
 }
--- a/internal/soak/era.go
+++ b/internal/soak/era.go
@@ -26,14 +26,14 @@
 // storeCopy is what the store held at a moment.
 type storeCopy struct {
 	at   time.Time
-	held standin.KeyedCopy
+	held standin.KeyedSnapshot
 }
 
 // keepCopies takes copies of the store until the context ends.
 func (w *Fleet) keepCopies(ctx context.Context) {
 	for ctx.Err() == nil {
 		w.mu.Lock()
-		w.copies = append(w.copies, storeCopy{at: time.Now(), held: w.store.Copy()})
+		w.copies = append(w.copies, storeCopy{at: time.Now(), held: w.store.Snapshot()})
 		w.copies = w.copies[max(0, len(w.copies)-copiesKept):]
 		w.mu.Unlock()
 		kernel.Pause(ctx, copyEvery)
@@ -68,7 +68,7 @@
 	}
 	c := w.copies[pick%len(w.copies)]
 	w.copies = nil
-	w.store.Return(c.held)
+	w.store.Restore(c.held)
 	w.history.Returned(c.at)
 }
 
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -76,7 +76,7 @@
 	}
 	w.weights = &Slot{address: w.origin, link: l}
 	go func() {
-		_ = standin.ServeOn(ctx, l, standin.Versions{Model: model, Chunks: chunks, ChunkBytes: chunkBytes})
+		_ = standin.ServeOn(ctx, l, standin.ModelOrigin{Model: model, Chunks: chunks, ChunkBytes: chunkBytes})
 	}()
 	w.version = firstVersion
 	w.configure(0)
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -37,8 +37,8 @@
 		w.hurtStore(ctx, s, "", w.all())
 	case doForget:
 		defer w.history.Begin(theStore, "forgot its history")()
-		w.store.Forget(operatorTopic)
-		w.store.Forget(serverTopic)
+		w.store.TruncateHistory(operatorTopic)
+		w.store.TruncateHistory(serverTopic)
 	case doRefuse, doCutOne, doStoreRst:
 		w.hurtDoors(ctx, s)
 	case doLeave, doGone, doCrash, doRestart:
--- a/internal/soak/rest.go
+++ b/internal/soak/rest.go
@@ -50,9 +50,9 @@
 	}
 	w.history.Note("%s asks for rest", id)
 	w.history.Count("upstreams that ask for rest")
-	server.SetRest(fmt.Sprintf("%.2f", leastRest+s.Size*(mostRest-leastRest)))
+	server.SetRetryAfter(fmt.Sprintf("%.2f", leastRest+s.Size*(mostRest-leastRest)))
 	kernel.Pause(ctx, s.For)
-	server.SetRest("")
+	server.SetRetryAfter("")
 }
 
 // toldOf is what an upstream has told a gateway; the caller holds the lock.
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -44,7 +44,7 @@
 func (h *history) cut(head bool)        { h.Cut("1", head, io.ErrUnexpectedEOF) }
 
 func (h *history) runs(version int) {
-	h.Ran(standin.Ran{Request: "1", Instance: "u", Version: version, At: h.at})
+	h.Ran(standin.RequestRun{Request: "1", Instance: "u", Version: version, At: h.at})
 }
 
 // leaves lets the upstream leave and a time pass.
@@ -365,7 +365,7 @@
 
 var _ = Describe("a door to the store", func() {
 	It("loses answers after the call took effect", func() {
-		d := &Door{KeyedDoor: standin.NewKeyedStore().Door()}
+		d := &Door{KeyedEndpoint: standin.NewKeyedStore().NewEndpoint()}
 		s := httptest.NewServer(d)
 		DeferCleanup(s.Close)
 		lost := 0
--- a/internal/soak/upstream.go
+++ b/internal/soak/upstream.go
@@ -63,11 +63,11 @@
 	s.starts++
 	s.id = fmt.Sprintf("%s-%d", s.address, s.starts)
 	server := &standin.ModelServer{
-		Instance: s.id, Born: time.Now().UnixMilli(), Slots: slots, Event: s.event, Note: s.history.Ran,
-		Weights: standin.Versions{Model: model, Chunks: chunks, ChunkBytes: chunkBytes},
-		Broken:  func(what string) { s.history.Violate("weights", s.address, "", "%s", what) },
+		Instance: s.id, StartMillis: time.Now().UnixMilli(), Slots: slots, EventInterval: s.event, OnRun: s.history.Ran,
+		Weights: standin.ModelOrigin{Model: model, Chunks: chunks, ChunkBytes: chunkBytes},
+		OnViolation:  func(what string) { s.history.Violate("weights", s.address, "", "%s", what) },
 	}
-	server.TurnedAway = func(request, retryAfter string) { s.history.AskedForRest(request, server.Instance, retryAfter) }
+	server.OnRetryAfter = func(request, retryAfter string) { s.history.AskedForRest(request, server.Instance, retryAfter) }
 	s.crashes(ctx, server)
 	s.server, s.link, s.state, s.listed, s.came = server, l, stateReady, true, time.Now()
 	go func() { _ = standin.ServeOn(ctx, l, &recorder{slot: s.address, server: server, history: s.history}) }()
@@ -94,7 +94,7 @@
 func (s *Slot) write() {
 	b, err := json.Marshal(map[string]any{
 		"service": s.pool, "address": s.address, "zone": s.domain, "slots": slots, "state": s.state, "models": s.server.Models(),
-		"born": s.server.Born,
+		"born": s.server.StartMillis,
 	})
 	if err == nil {
 		s.store.Put(serverTopic, s.id, b)
@@ -176,5 +176,5 @@
 func (s *Slot) Serving() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.server.Serving()
+	return s.server.ServedVersion()
 }
--- a/internal/standin/keyed.go
+++ b/internal/standin/keyed.go
@@ -60,31 +60,31 @@
 	s.change = make(chan struct{})
 }
 
-// Forget drops the history of a topic: what has been written can be read by key only.
-func (s *KeyedStore) Forget(topic string) {
+// TruncateHistory drops the history of a topic: what has been written can be read by key only.
+func (s *KeyedStore) TruncateHistory(topic string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(topic)
 	t.first = len(t.records)
 }
 
-// KeyedCopy is what a store held at a moment.
-type KeyedCopy map[string]keyedTopic
+// KeyedSnapshot is what a store held at a moment.
+type KeyedSnapshot map[string]keyedTopic
 
-// Copy returns what the store holds now.
-func (s *KeyedStore) Copy() KeyedCopy {
+// Snapshot returns what the store holds now.
+func (s *KeyedStore) Snapshot() KeyedSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := KeyedCopy{}
+	c := KeyedSnapshot{}
 	for name, t := range s.topics {
 		c[name] = keyedTopic{records: slices.Clone(t.records), first: t.first}
 	}
 	return c
 }
 
-// Return has the store come back from a copy: what was written since is gone, and the next records get its offsets. Those
+// Restore has the store come back from a copy: what was written since is gone, and the next records get its offsets. Those
 // that are written again are there with the return.
-func (s *KeyedStore) Return(c KeyedCopy, again ...KeyedWriting) {
+func (s *KeyedStore) Restore(c KeyedSnapshot, again ...KeyedWrite) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.topics = map[string]*keyedTopic{}
@@ -112,8 +112,8 @@
 	return slices.Sorted(maps.Keys(last))
 }
 
-// KeyedWriting is a record to be written; a nil value drops the key.
-type KeyedWriting struct {
+// KeyedWrite is a record to be written; a nil value drops the key.
+type KeyedWrite struct {
 	Topic, Key string
 	Value      []byte
 }
@@ -133,35 +133,35 @@
 	return t
 }
 
-// KeyedDoor is one caller's way to the store, with faults of its own: the store may turn some callers away.
-type KeyedDoor struct {
+// KeyedEndpoint is one caller's way to the store, with faults of its own: the store may turn some callers away.
+type KeyedEndpoint struct {
 	store  *KeyedStore
 	mu     sync.Mutex
 	faults KeyedFaults
 	calls  int
 }
 
-// Door makes a way to the store without faults.
-func (s *KeyedStore) Door() *KeyedDoor {
-	return &KeyedDoor{store: s}
+// NewEndpoint makes a way to the store without faults.
+func (s *KeyedStore) NewEndpoint() *KeyedEndpoint {
+	return &KeyedEndpoint{store: s}
 }
 
 // SetFaults replaces the faults.
-func (d *KeyedDoor) SetFaults(f KeyedFaults) {
+func (d *KeyedEndpoint) SetFaults(f KeyedFaults) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults = f
 }
 
 // Calls is the number of calls that came.
-func (d *KeyedDoor) Calls() int {
+func (d *KeyedEndpoint) Calls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.calls
 }
 
 // ServeHTTP implements http.Handler.
-func (d *KeyedDoor) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *KeyedEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	d.calls++
 	f := d.faults
--- a/internal/standin/modelserver.go
+++ b/internal/standin/modelserver.go
@@ -15,22 +15,22 @@
 	"time"
 )
 
-// Versions are what the origin of the users' platform gives: versions of one model, made from their numbers.
-type Versions struct {
+// ModelOrigin are what the origin of the users' platform gives: versions of one model, made from their numbers.
+type ModelOrigin struct {
 	Model      string
 	Chunks     int
 	ChunkBytes int
 }
 
 // Chunk returns a chunk of a version.
-func (w Versions) Chunk(version, n int) []byte {
+func (w ModelOrigin) Chunk(version, n int) []byte {
 	b := make([]byte, w.ChunkBytes)
 	_, _ = rand.NewChaCha8([32]byte{byte(version), byte(version >> 8), byte(n), byte(n >> 8)}).Read(b)
 	return b
 }
 
 // ServeHTTP answers as the origin does.
-func (w Versions) ServeHTTP(out http.ResponseWriter, r *http.Request) {
+func (w ModelOrigin) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	version, _ := strconv.Atoi(r.URL.Query().Get("version"))
 	switch {
 	case strings.HasPrefix(r.URL.Path, "/v1/manifest/"):
@@ -48,12 +48,12 @@
 	}
 }
 
-// Ran is one run of a request at a model server.
-type Ran struct {
+// RequestRun is one run of a request at a model server.
+type RequestRun struct {
 	Request  string
 	Instance string
 	Version  int
-	After    int
+	ResumedAfter    int
 	At       time.Time
 }
 
@@ -69,23 +69,23 @@
 // ModelServer plays a model server of the users' platform. Its fields may change only while nothing is served.
 type ModelServer struct {
 	Instance string
-	// Born is the Unix millisecond of its start; 0 leaves it out of what it says.
-	Born    int64
+	// StartMillis is the Unix millisecond of its start; 0 leaves it out of what it says.
+	StartMillis    int64
 	Slots   int
-	Weights Versions
-	// Event is the time between two events of a stream; 0 takes the usual one.
-	Event time.Duration
-	// Note is told of each run, and Broken of each promise that the system has broken towards it.
-	Note   func(r Ran)
-	Broken func(what string)
-	// Crashes says whether the server's process ends under a request's body, and after how many events: BeforeHead ends
+	Weights ModelOrigin
+	// EventInterval is the time between two events of a stream; 0 takes the usual one.
+	EventInterval time.Duration
+	// OnRun is told of each run, and Broken of each promise that the system has broken towards it.
+	OnRun   func(r RequestRun)
+	OnViolation func(what string)
+	// CrashPoint says whether the server's process ends under a request's body, and after how many events: BeforeHead ends
 	// it before the head of its answer. Crash then ends it. Both are nil for a server that bears every request.
-	Crashes func(body string) (events int, ends bool)
-	Crash   func(body string)
-	// TurnedAway is told of each request that is answered 503 with a Retry-After; nil for nobody.
-	TurnedAway func(request, retryAfter string)
-	// Arrived is told of each request that reaches the server, run or refused; nil for nobody.
-	Arrived func(request string)
+	CrashPoint func(body string) (events int, ends bool)
+	OnCrash   func(body string)
+	// OnRetryAfter is told of each request that is answered 503 with a Retry-After; nil for nobody.
+	OnRetryAfter func(request, retryAfter string)
+	// OnRequest is told of each request that reaches the server, run or refused; nil for nobody.
+	OnRequest func(request string)
 
 	mu sync.Mutex
 	// limit is what the server names in its answers to requests, and in its reports too where reported; empty for no limit.
@@ -109,15 +109,15 @@
 // BeforeHead is the number of events after which a process ends that sends nothing of its answer at all.
 const BeforeHead = -1
 
-// Serving returns the version that is served; 0 is none.
-func (s *ModelServer) Serving() int {
+// ServedVersion returns the version that is served; 0 is none.
+func (s *ModelServer) ServedVersion() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version
 }
 
-// Set makes the server serve a version, as one does that the users' platform has filled.
-func (s *ModelServer) Set(version int) {
+// SetVersion makes the server serve a version, as one does that the users' platform has filled.
+func (s *ModelServer) SetVersion(version int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version = version
@@ -137,8 +137,8 @@
 	s.leaving, s.leavingReported = leaving, reported
 }
 
-// SetRest has the server turn all requests away with 503 and a Retry-After; an empty text ends it.
-func (s *ModelServer) SetRest(retryAfter string) {
+// SetRetryAfter has the server turn all requests away with 503 and a Retry-After; an empty text ends it.
+func (s *ModelServer) SetRetryAfter(retryAfter string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.retryAfter = retryAfter
@@ -189,8 +189,8 @@
 		"stage": "both", "models": models, "busy": s.busy, "sequence": s.orders, "waiting": 0, "running": s.running,
 		"kvUsed": 0, "kvTotal": 1, "pace": 1,
 	}
-	if s.Born > 0 {
-		said["born"] = s.Born
+	if s.StartMillis > 0 {
+		said["born"] = s.StartMillis
 	}
 	writeJSON(w, said)
 }
@@ -244,7 +244,7 @@
 	}
 	for n := range s.Weights.Chunks {
 		if !bytes.Equal(s.staged[n], s.Weights.Chunk(o.Version, n)) {
-			s.Broken(fmt.Sprintf("%s was ordered to load version %d with a wrong chunk %d", s.Instance, o.Version, n))
+			s.OnViolation(fmt.Sprintf("%s was ordered to load version %d with a wrong chunk %d", s.Instance, o.Version, n))
 			break
 		}
 	}
@@ -278,8 +278,8 @@
 // request runs a caller's request: a stream where it names a model, a short answer elsewhere.
 func (s *ModelServer) request(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
-	if s.Arrived != nil {
-		s.Arrived(r.Header.Get("Request-Id"))
+	if s.OnRequest != nil {
+		s.OnRequest(r.Header.Get("Request-Id"))
 	}
 	s.name(w.Header(), false)
 	body, err := io.ReadAll(r.Body)
@@ -295,7 +295,7 @@
 	}
 	defer s.leave()
 	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
-	s.Note(Ran{Request: r.Header.Get("Request-Id"), Instance: s.Instance, Version: version, After: after, At: time.Now()})
+	s.OnRun(RequestRun{Request: r.Header.Get("Request-Id"), Instance: s.Instance, Version: version, ResumedAfter: after, At: time.Now()})
 	events, ends := s.crashes(string(body))
 	if ends && events == BeforeHead {
 		s.crash(string(body))
@@ -309,8 +309,8 @@
 	w.Header().Set("Versions", strconv.Itoa(version))
 	w.Header().Set("Content-Type", "text/event-stream")
 	pause := modelEvent
-	if s.Event > 0 {
-		pause = s.Event
+	if s.EventInterval > 0 {
+		pause = s.EventInterval
 	}
 	_ = http.NewResponseController(w).Flush()
 	for n := after + 1; n <= modelEvents && r.Context().Err() == nil; n++ {
@@ -329,15 +329,15 @@
 
 // crashes says whether the process ends under a body, and after how many events.
 func (s *ModelServer) crashes(body string) (events int, ends bool) {
-	if s.Crashes == nil {
+	if s.CrashPoint == nil {
 		return 0, false
 	}
-	return s.Crashes(body)
+	return s.CrashPoint(body)
 }
 
 // crash ends the process, and with it the answer that it was at.
 func (s *ModelServer) crash(body string) {
-	s.Crash(body)
+	s.OnCrash(body)
 	cut()
 }
 
@@ -379,8 +379,8 @@
 		return
 	}
 	h.Set("Retry-After", after)
-	if s.TurnedAway != nil {
-		s.TurnedAway(request, after)
+	if s.OnRetryAfter != nil {
+		s.OnRetryAfter(request, after)
 	}
 }
 
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -130,7 +130,7 @@
 		return nil
 	})
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, PlatformStats{OriginBytes: p.Origin.Drawn(), StoreBytes: p.Store.Drawn()})
+		writeJSON(w, PlatformStats{OriginBytes: p.Origin.BytesSent(), StoreBytes: p.Store.BytesSent()})
 	})
 	return mux
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -157,6 +157,6 @@
 		n, _ := io.Copy(io.Discard, a.Body)
 		Expect(n).To(Equal(int64(3 * pieceBytes)))
 		Expect(time.Since(started)).To(BeNumerically(">", 250*time.Millisecond))
-		Expect(w.Drawn()).To(Equal(n))
+		Expect(w.BytesSent()).To(Equal(n))
 	})
 })
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -56,8 +56,8 @@
 	o.memory[path] = data
 }
 
-// Drawn is the number of bytes of content that were sent.
-func (o *Weights) Drawn() int64 {
+// BytesSent is the number of bytes of content that were sent.
+func (o *Weights) BytesSent() int64 {
 	return o.drawn.Load()
 }
 
