--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -118,7 +118,7 @@
 		a.Engine = standin.NewEngine(ctx, f.size.Engine)
 		h = a.Engine.Handler()
 	}
-	f.Running.Go(func() {
+	f.Goroutines.Go(func() {
 		defer close(ended)
 		_ = standin.ServeOn(ctx, l, h)
 	})
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -42,8 +42,8 @@
 	CallerKey     = "gym-caller"
 )
 
-// Size is what a fleet is made of.
-type Size struct {
+// Options is what a fleet is made of.
+type Options struct {
 	VMs, Domains int
 	// LinkBytesPerSecond is a VM's link; the origin's is OriginLinks of them.
 	LinkBytesPerSecond float64
@@ -62,13 +62,13 @@
 // Fleet is a platform, an entry per failure domain and agents, all in this process over loopback.
 type Fleet struct {
 	Platform *standin.Platform
-	// Address is the platform's URL.
-	Address string
+	// PlatformURL is the platform's URL.
+	PlatformURL string
 	Agents  []*Agent
 	Entries []*Entry
-	// Running counts what must have ended before Close returns.
-	Running  sync.WaitGroup
-	size     Size
+	// Goroutines counts what must have ended before Close returns.
+	Goroutines  sync.WaitGroup
+	size     Options
 	listed   []standin.ListedVM
 	domainOf sync.Map
 	cut      atomic.Pointer[id.Domain]
@@ -76,7 +76,7 @@
 }
 
 // New starts a fleet; Close ends it.
-func New(ctx context.Context, s Size) (*Fleet, error) {
+func New(ctx context.Context, s Options) (*Fleet, error) {
 	ctx, stop := context.WithCancel(ctx)
 	f := &Fleet{size: s, stop: stop}
 	f.Platform = &standin.Platform{
@@ -87,8 +87,8 @@
 	if err != nil {
 		return nil, err
 	}
-	f.Address = "http://" + l.Addr().String()
-	f.Running.Go(func() { _ = standin.ServeOn(ctx, l, f.Platform.Handler()) })
+	f.PlatformURL = "http://" + l.Addr().String()
+	f.Goroutines.Go(func() { _ = standin.ServeOn(ctx, l, f.Platform.Handler()) })
 	for d := range s.Domains {
 		if err := f.addEntry(ctx, d); err != nil {
 			return nil, err
@@ -111,7 +111,7 @@
 // Close ends all parts.
 func (f *Fleet) Close() {
 	f.stop()
-	f.Running.Wait()
+	f.Goroutines.Wait()
 }
 
 func (f *Fleet) domain(i int) id.Domain {
@@ -124,16 +124,16 @@
 	return c == nil || from == to || (from != *c && to != *c)
 }
 
-// CutOff cuts a domain from all others, and from the platform's origin.
-func (f *Fleet) CutOff(d id.Domain) {
+// Partition cuts a domain from all others, and from the platform's origin.
+func (f *Fleet) Partition(d id.Domain) {
 	f.cut.Store(&d)
 	for _, a := range f.Agents {
 		a.Link.breakConns(func(c *shapedConn) bool { return c.to != "" && !f.reachable(a.Domain, c.to) })
 	}
 }
 
-// Heal ends a cut.
-func (f *Fleet) Heal() {
+// HealPartition ends a cut.
+func (f *Fleet) HealPartition() {
 	f.cut.Store(nil)
 }
 
@@ -172,7 +172,7 @@
 	parts := []kernel.Part{
 		{Name: rpc.PartName, New: func(*kernel.Host) (any, error) { return s, nil }},
 		{Name: platform.PartName, New: func(*kernel.Host) (any, error) {
-			return platform.New(&platform.Settings{Log: f.Address, VMList: f.Address, Origin: f.Address}, client), nil
+			return platform.New(&platform.Settings{Log: f.PlatformURL, VMList: f.PlatformURL, Origin: f.PlatformURL}, client), nil
 		}},
 	}
 	for _, p := range kernel.Registered() {
@@ -188,7 +188,7 @@
 }
 
 func (f *Fleet) run(ctx context.Context, h *kernel.Host, ended chan struct{}) {
-	f.Running.Go(func() {
+	f.Goroutines.Go(func() {
 		defer close(ended)
 		_ = h.Run(ctx)
 	})
@@ -215,8 +215,8 @@
 	return f.Entries[entry].host.Part(rpc.PartName).(*rpc.Server).Config(f.listed[entry].Address)
 }
 
-// List shows the VM list anew, as change makes it.
-func (f *Fleet) List(change func(vms []standin.ListedVM)) {
+// UpdateVMList shows the VM list anew, as change makes it.
+func (f *Fleet) UpdateVMList(change func(vms []standin.ListedVM)) {
 	l := slices.Clone(f.listed)
 	change(l)
 	f.Platform.VMs.Set(l)
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -26,12 +26,12 @@
 // Link is a VM's link: what goes out and what comes in are shaped apart, or by one bucket.
 type Link struct {
 	domain id.Domain
-	// Up and Down are the buckets; one and the same for half duplex.
-	Up, Down *rate.Limiter
+	// Uplink and Downlink are the buckets; one and the same for half duplex.
+	Uplink, Downlink *rate.Limiter
 	// Bytes counts both directions.
 	Bytes atomic.Int64
-	// Corrupt damages chunk bytes that go out; Dead takes and makes no connections.
-	Corrupt, Dead atomic.Bool
+	// Corrupt damages chunk bytes that go out; Disconnected takes and makes no connections.
+	Corrupt, Disconnected atomic.Bool
 	// reachable says whether a failure domain can be reached now.
 	reachable func(from, to id.Domain) bool
 	mu        sync.Mutex
@@ -40,25 +40,25 @@
 
 func newLink(d id.Domain, bytesPerSecond float64, halfDuplex bool, reachable func(from, to id.Domain) bool) *Link {
 	l := &Link{
-		domain: d, Up: rate.NewLimiter(rate.Limit(bytesPerSecond), pieceBytes), reachable: reachable,
+		domain: d, Uplink: rate.NewLimiter(rate.Limit(bytesPerSecond), pieceBytes), reachable: reachable,
 		conns: map[*shapedConn]bool{},
 	}
-	l.Down = l.Up
+	l.Downlink = l.Uplink
 	if !halfDuplex {
-		l.Down = rate.NewLimiter(rate.Limit(bytesPerSecond), pieceBytes)
+		l.Downlink = rate.NewLimiter(rate.Limit(bytesPerSecond), pieceBytes)
 	}
 	return l
 }
 
 // SetRate changes the speed of both directions.
 func (l *Link) SetRate(bytesPerSecond float64) {
-	l.Up.SetLimit(rate.Limit(bytesPerSecond))
-	l.Down.SetLimit(rate.Limit(bytesPerSecond))
+	l.Uplink.SetLimit(rate.Limit(bytesPerSecond))
+	l.Downlink.SetLimit(rate.Limit(bytesPerSecond))
 }
 
 // Kill ends the VM: its connections break and it takes none.
 func (l *Link) Kill() {
-	l.Dead.Store(true)
+	l.Disconnected.Store(true)
 	l.breakConns(func(*shapedConn) bool { return true })
 }
 
@@ -77,7 +77,7 @@
 	d := &net.Dialer{Timeout: 2 * time.Second}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		to, known := lookup(address)
-		if l.Dead.Load() || known && !l.reachable(l.domain, to) {
+		if l.Disconnected.Load() || known && !l.reachable(l.domain, to) {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: errCut}
 		}
 		c, err := d.DialContext(ctx, network, address)
@@ -114,7 +114,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if !s.link.Dead.Load() {
+		if !s.link.Disconnected.Load() {
 			return s.link.wrap(c, ""), nil
 		}
 		_ = c.Close()
@@ -132,7 +132,7 @@
 func (c *shapedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b[:min(len(b), pieceBytes)])
 	c.link.Bytes.Add(int64(n))
-	if n > 0 && c.link.Down.WaitN(context.Background(), n) != nil {
+	if n > 0 && c.link.Downlink.WaitN(context.Background(), n) != nil {
 		return n, errCut
 	}
 	return n, err
@@ -147,7 +147,7 @@
 	written := 0
 	for written < len(b) {
 		piece := b[written:min(written+pieceBytes, len(b))]
-		if c.link.Up.WaitN(context.Background(), len(piece)) != nil {
+		if c.link.Uplink.WaitN(context.Background(), len(piece)) != nil {
 			return written, errCut
 		}
 		n, err := c.Conn.Write(piece)
--- a/internal/fleet/operator_test.go
+++ b/internal/fleet/operator_test.go
@@ -71,7 +71,7 @@
 	})
 
 	It("undo a rollout", func() {
-		f := serving(1, func(s *fleet.Size) { s.Domains = 1 })
+		f := serving(1, func(s *fleet.Options) { s.Domains = 1 })
 		e := f.Entries[0]
 		_, _, err := f.Publish("v2", megabyte, chunk)
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/fleet/request_test.go
+++ b/internal/fleet/request_test.go
@@ -16,7 +16,7 @@
 )
 
 // serving runs a fleet on which a version is live.
-func serving(vms int, change func(s *fleet.Size)) *fleet.Fleet {
+func serving(vms int, change func(s *fleet.Options)) *fleet.Fleet {
 	f := start(vms, 32*megabyte, change)
 	publish(f, "v1", megabyte, 0)
 	Eventually(live(f, "v1"), "20s", "10ms").Should(Equal(vms))
@@ -41,7 +41,7 @@
 
 var _ = Describe("a request", func() {
 	It("needs a caller's key, a body that can be read, and a model that is there", func() {
-		f := serving(1, func(s *fleet.Size) { s.Domains = 1 })
+		f := serving(1, func(s *fleet.Options) { s.Domains = 1 })
 		e := f.Entries[0]
 		Expect(send(http.MethodPost, e.Caller+"/v1/chat/completions", []byte(`{"model":"desk"}`), "Authorization", "").status).To(Equal(http.StatusUnauthorized))
 		Expect(send(http.MethodPost, e.Caller+"/v1/chat/completions", []byte(`{"model":"desk"}`), "Authorization", "Bearer no").status).To(Equal(http.StatusUnauthorized))
@@ -54,7 +54,7 @@
 	})
 
 	It("whose answer is crossed, cut or of another version is never passed on as whole", func() {
-		f := serving(1, func(s *fleet.Size) { s.Domains = 1 })
+		f := serving(1, func(s *fleet.Options) { s.Domains = 1 })
 		e, engine := f.Entries[0], f.Agents[0].Engine
 		for name, fault := range map[string]standin.EngineFaults{
 			"crossed": {CrossAnswers: true}, "version": {WrongVersion: true},
@@ -100,7 +100,7 @@
 	})
 
 	It("of a key whose home has died is not run elsewhere while the platform lists the home", func() {
-		f := serving(3, func(s *fleet.Size) { s.Domains = 1 })
+		f := serving(3, func(s *fleet.Options) { s.Domains = 1 })
 		e := f.Entries[0]
 		body := []byte(`{"model":"desk","max_tokens":2,"messages":[]}`)
 		runs := func() int {
@@ -150,7 +150,7 @@
 	})
 
 	It("over the organisation's limit is refused at once with the time to come back", func() {
-		f := serving(1, func(s *fleet.Size) { s.Domains = 1 })
+		f := serving(1, func(s *fleet.Options) { s.Domains = 1 })
 		Expect(f.Append(&pb.Change{
 			ChangeId: "limit", Organisation: fleet.Organisation, BaseRevision: 1,
 			Operation: &pb.Change_PutOrganisation{PutOrganisation: &pb.PutOrganisation{Organisation: &pb.Organisation{
@@ -167,7 +167,7 @@
 	})
 
 	It("is cut by no planned stop of an agent or an entry, and a leaving upstream gets no new work", func() {
-		f := serving(3, func(s *fleet.Size) { s.Domains = 1 })
+		f := serving(3, func(s *fleet.Options) { s.Domains = 1 })
 		stop := make(chan struct{})
 		var wait sync.WaitGroup
 		var mu sync.Mutex
--- a/internal/fleet/rollout_test.go
+++ b/internal/fleet/rollout_test.go
@@ -27,10 +27,10 @@
 )
 
 // start runs a serving fleet; the spec's end closes it.
-func start(vms int, link float64, change func(s *fleet.Size)) *fleet.Fleet {
+func start(vms int, link float64, change func(s *fleet.Options)) *fleet.Fleet {
 	speeds := standin.DefaultEngine()
 	speeds.Step = time.Millisecond
-	s := fleet.Size{
+	s := fleet.Options{
 		VMs: vms, Domains: 2, LinkBytesPerSecond: link, OriginLinks: 2, Seed: 1, Swarm: transfer.NewSettings(),
 		Serving: true, Engine: speeds, ListLag: 50 * time.Millisecond,
 	}
@@ -101,7 +101,7 @@
 		n := 0
 		for _, a := range f.Agents {
 			for _, l := range a.Follower.Status().GetLive() {
-				if l.GetVersion() == version && !a.Link.Dead.Load() {
+				if l.GetVersion() == version && !a.Link.Disconnected.Load() {
 					n++
 				}
 			}
@@ -191,7 +191,7 @@
 	})
 
 	It("takes no request while an engine loads, nor after it has failed or been killed in mid-load", func() {
-		f := start(2, 32*megabyte, func(s *fleet.Size) { s.Domains, s.Engine.LoadTime = 1, 500*time.Millisecond })
+		f := start(2, 32*megabyte, func(s *fleet.Options) { s.Domains, s.Engine.LoadTime = 1, 500*time.Millisecond })
 		f.Agents[0].Engine.SetFaults(standin.EngineFaults{FailLoads: true})
 		publish(f, "v1", megabyte, 0)
 		Eventually(func() bool { return loading(f.Agents[1]) }, "10s", "5ms").Should(BeTrue())
@@ -207,7 +207,7 @@
 	})
 
 	It("never mixes in content that is swapped under the version at the origin", func() {
-		f := start(3, megabyte, func(s *fleet.Size) { s.Domains = 1 })
+		f := start(3, megabyte, func(s *fleet.Options) { s.Domains = 1 })
 		seen := watchCallers(f)
 		_, content := publish(f, "v1", megabyte, 0)
 		Eventually(held(f, "v1"), "10s", "5ms").Should(BeNumerically(">", 10))
@@ -243,7 +243,7 @@
 	})
 
 	It("swaps in waves and keeps serving", func() {
-		f := start(4, 32*megabyte, func(s *fleet.Size) { s.Domains, s.Engine.LoadTime = 1, 100*time.Millisecond })
+		f := start(4, 32*megabyte, func(s *fleet.Options) { s.Domains, s.Engine.LoadTime = 1, 100*time.Millisecond })
 		publish(f, "v1", megabyte, 0)
 		Eventually(live(f, "v1"), "20s", "10ms").Should(Equal(4))
 		Eventually(func() int { return ask(f.Entries[0], false).status }, "5s", "20ms").Should(Equal(http.StatusOK))
@@ -260,7 +260,7 @@
 	})
 
 	It("is undone by a rollback, from what is still held", func() {
-		f := start(2, 32*megabyte, func(s *fleet.Size) { s.Domains = 1 })
+		f := start(2, 32*megabyte, func(s *fleet.Options) { s.Domains = 1 })
 		v1, _ := publish(f, "v1", megabyte, 0)
 		Eventually(live(f, "v1"), "20s", "10ms").Should(Equal(2))
 		publish(f, "v2", megabyte, 2)
--- a/internal/fleet/timeline_test.go
+++ b/internal/fleet/timeline_test.go
@@ -17,7 +17,7 @@
 
 var _ = Describe("the time line", func() {
 	It("is in causal order over all processes, with clocks that are seconds apart", func() {
-		f := start(4, 32*megabyte, func(s *fleet.Size) { s.Skew = 5 * time.Second })
+		f := start(4, 32*megabyte, func(s *fleet.Options) { s.Skew = 5 * time.Second })
 		client := springrailv1connect.NewOperatorServiceClient(&http.Client{}, f.Entries[1].Operator,
 			connect.WithInterceptors(bearer(fleet.AdminToken)))
 		ctx := context.Background()
--- a/internal/measure/baseline.go
+++ b/internal/measure/baseline.go
@@ -55,14 +55,14 @@
 		}
 		n.address = l.Addr().String()
 		server := &http.Server{Handler: n, ReadHeaderTimeout: time.Second}
-		b.fleet.Running.Go(func() {
+		b.fleet.Goroutines.Go(func() {
 			stop := context.AfterFunc(ctx, func() { _ = server.Close() })
 			defer stop()
 			_ = server.Serve(a.Link.Listener(l))
 		})
 	}
 	for i, n := range b.nodes {
-		b.fleet.Running.Go(func() { b.fetch(ctx, i, n) })
+		b.fleet.Goroutines.Go(func() { b.fetch(ctx, i, n) })
 	}
 }
 
@@ -96,7 +96,7 @@
 	chunk := int(b.version.GetChunkBytes())
 	start := c * chunk
 	end := min(start+chunk, int(b.version.GetTotalBytes()))
-	url := b.fleet.Address + "/origin/" + b.version.GetSource() + "/content"
+	url := b.fleet.PlatformURL + "/origin/" + b.version.GetSource() + "/content"
 	if from != nil {
 		url = fmt.Sprintf("http://%s/%d", from.address, c)
 	}
--- a/internal/measure/burst.go
+++ b/internal/measure/burst.go
@@ -26,7 +26,7 @@
 
 // burstPlan is one burst.
 type burstPlan struct {
-	fleet.Size
+	fleet.Options
 	Strategy  string
 	Objective pb.Objective
 	SizeBytes int
@@ -104,7 +104,7 @@
 		s := previousRelease()
 		p.Swarm = &s
 	}
-	f, err := fleet.New(ctx, p.Size)
+	f, err := fleet.New(ctx, p.Options)
 	if err != nil {
 		return nil, err
 	}
@@ -208,7 +208,7 @@
 	for ctx.Err() == nil {
 		left := 0
 		for _, a := range w.fleet.Agents[:w.plan.VMs] {
-			if _, ok := w.done[a.VM]; ok || a.Link.Dead.Load() {
+			if _, ok := w.done[a.VM]; ok || a.Link.Disconnected.Load() {
 				continue
 			}
 			if w.complete(a) {
@@ -256,7 +256,7 @@
 	var times []float64
 	var moved, payload, busy, wasted int64
 	for _, a := range w.fleet.Agents[:p.VMs] {
-		if !a.Link.Dead.Load() {
+		if !a.Link.Disconnected.Load() {
 			r.Live++
 		}
 		if t, ok := w.done[a.VM]; ok {
--- a/internal/measure/config.go
+++ b/internal/measure/config.go
@@ -109,7 +109,7 @@
 // processor time are per agent, the entries' and the stand-ins' part of the processor included.
 func (f *configFlags) spread(ctx context.Context, parts int) (*configRow, error) {
 	const fast = 1 << 30
-	l, err := fleet.New(ctx, fleet.Size{
+	l, err := fleet.New(ctx, fleet.Options{
 		VMs: parts, Domains: f.entries, LinkBytesPerSecond: fast, OriginLinks: 1, Swarm: transfer.NewSettings(),
 	})
 	if err != nil {
@@ -194,7 +194,7 @@
 // recoverFrom measures how long a fresh process needs until it holds the configuration of a number of records, of
 // which a tenth made an organisation and the others changed one.
 func recoverFrom(ctx context.Context, records int, source string) (*configRow, error) {
-	l, err := fleet.New(ctx, fleet.Size{VMs: 1, Domains: 1, LinkBytesPerSecond: 1 << 30, OriginLinks: 1, Swarm: transfer.NewSettings()})
+	l, err := fleet.New(ctx, fleet.Options{VMs: 1, Domains: 1, LinkBytesPerSecond: 1 << 30, OriginLinks: 1, Swarm: transfer.NewSettings()})
 	if err != nil {
 		return nil, err
 	}
@@ -249,7 +249,7 @@
 
 // fromLog reads the log, or one whose older records have expired after a snapshot.
 func fromLog(ctx context.Context, l *fleet.Fleet, state *pb.State, records int, snapshot bool) error {
-	address := l.Address
+	address := l.PlatformURL
 	if snapshot {
 		data, err := proto.Marshal(&pb.Record{Body: &pb.Record_Snapshot{Snapshot: state}})
 		if err != nil {
--- a/internal/measure/fault.go
+++ b/internal/measure/fault.go
@@ -98,11 +98,11 @@
 	case "stall":
 		for _, a := range s.some(stallShare) {
 			a.Link.SetRate(1)
-			a.Link.Dead.Store(true)
+			a.Link.Disconnected.Store(true)
 		}
 	case "slow-peer":
 		for _, a := range s.some(slowShare) {
-			a.Link.Up.SetLimit(a.Link.Up.Limit() / 10)
+			a.Link.Uplink.SetLimit(a.Link.Uplink.Limit() / 10)
 		}
 	case "corrupt-peer":
 		for _, a := range s.some(corruptShare) {
@@ -115,9 +115,9 @@
 		s.pause(ctx)
 		origin.SetFaults(standin.WeightsFaults{})
 	case "domain-cut":
-		s.fleet.CutOff(s.fleet.Agents[0].Domain)
+		s.fleet.Partition(s.fleet.Agents[0].Domain)
 		s.pause(ctx)
-		s.fleet.Heal()
+		s.fleet.HealPartition()
 	case "origin-down":
 		origin.SetFaults(standin.WeightsFaults{Outage: true})
 		s.pause(ctx)
--- a/internal/measure/live.go
+++ b/internal/measure/live.go
@@ -111,7 +111,7 @@
 // begin sends the load while the burst runs.
 func (p *livePair) begin(ctx context.Context) {
 	if p != nil {
-		p.during.fleet.Running.Go(func() { p.during.run(ctx) })
+		p.during.fleet.Goroutines.Go(func() { p.during.run(ctx) })
 	}
 }
 
--- a/internal/measure/main.go
+++ b/internal/measure/main.go
@@ -147,7 +147,7 @@
 
 func (f *burstFlags) plan(vms int, objective, strategy string, i uint64) *burstPlan {
 	p := &burstPlan{
-		Size: fleet.Size{
+		Options: fleet.Options{
 			VMs: vms, Domains: f.domains, LinkBytesPerSecond: float64(f.link), OriginLinks: f.originLinks,
 			HalfDuplex: f.halfDuplex, Seed: f.seed + i, Swarm: f.swarm,
 		},
