--- a/internal/soak/caller.go
+++ b/internal/soak/caller.go
@@ -132,10 +132,10 @@
 func (c *Caller) one(ctx context.Context, a ask) {
 	q, err := a.write()
 	if err != nil {
-		c.history.Note("%s: %v", a.id, err)
+		c.history.RecordEvent("%s: %v", a.id, err)
 		return
 	}
-	c.history.Sent(a.id, &request{gateway: c.gateway, unsafe: a.unsafe})
+	c.history.RecordSent(a.id, &request{gateway: c.gateway, unsafe: a.unsafe})
 	most := callerMost
 	if gone := c.random.Float64() < goneShare; gone {
 		most = time.Duration(c.random.Int64N(int64(goneMost)))
@@ -157,9 +157,9 @@
 	}
 	if err != nil {
 		c.hangUp()
-		c.history.Closed(a.id)
+		c.history.RecordClosed(a.id)
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
-			c.history.Cut(a.id, r != nil, err)
+			c.history.RecordTruncated(a.id, r != nil, err)
 		}
 		return
 	}
@@ -173,7 +173,7 @@
 func (c *Caller) noteLeaving(a *ask, r *http.Response) {
 	instance, sealed := strings.CutSuffix(r.Header.Get("Response-Seal"), "."+a.id)
 	if sealed && r.Header.Get("Server-Leaving") != "" {
-		c.history.ToldLeaving(a.id, instance)
+		c.history.RecordLeavingNotice(a.id, instance)
 	}
 }
 
@@ -181,14 +181,14 @@
 func (c *Caller) check(a *ask, r *http.Response, body string) {
 	switch r.StatusCode {
 	case http.StatusOK:
-		c.history.Answered(a.id)
+		c.history.RecordAnswered(a.id)
 		c.whole(a, r, body)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest, http.StatusRequestTimeout:
-		c.history.Refused(a.id, r.StatusCode)
+		c.history.RecordRefused(a.id, r.StatusCode)
 	case http.StatusUnauthorized, http.StatusForbidden, http.StatusNotFound:
-		c.history.Denied(a.id, r.StatusCode, a.config)
+		c.history.RecordDenied(a.id, r.StatusCode, a.config)
 	case http.StatusBadGateway:
-		c.history.Failed(a.id, r.StatusCode)
+		c.history.RecordFailed(a.id, r.StatusCode)
 	default:
 		c.history.Count("status " + strconv.Itoa(r.StatusCode))
 	}
@@ -203,7 +203,7 @@
 	}
 	sealed := strings.HasSuffix(r.Header.Get("Response-Seal"), "."+a.id)
 	if body != want || r.Header.Get("Request-Id") != a.id || !sealed {
-		c.history.Violate("wrong-answer", c.gateway.name, a.id, "of %d bytes, want %d; head %v; begins %.80q", len(body), len(want),
+		c.history.RecordViolation("wrong-answer", c.gateway.name, a.id, "of %d bytes, want %d; head %v; begins %.80q", len(body), len(want),
 			r.Header, body)
 	}
 }
--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -28,8 +28,8 @@
 	return !b.standsStill(now) && b.clean(now.Add(-settle), now, r.gateway.name, theStore, theMachine)
 }
 
-// Ticked notes that this process runs on.
-func (b *History) Ticked() {
+// RecordTick notes that this process runs on.
+func (b *History) RecordTick() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.ticked = b.now()
@@ -41,8 +41,8 @@
 	return !b.ticked.IsZero() && now.Sub(b.ticked) > lagLook+lagMost
 }
 
-// Outlived notes that a process is there long after it was asked to end.
-func (b *History) Outlived(process string, asked time.Time) {
+// RecordOverdueExit notes that a process is there long after it was asked to end.
+func (b *History) RecordOverdueExit(process string, asked time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.now()
@@ -58,8 +58,8 @@
 	b.unless(ran < grace, "grace", process, "", "", "the process is there %v after SIGTERM", now.Sub(asked).Round(time.Second))
 }
 
-// Stalled notes that this process has stood still for a time.
-func (b *History) Stalled(d time.Duration) {
+// RecordStall notes that this process has stood still for a time.
+func (b *History) RecordStall(d time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stalls = append(b.stalls, stall{until: b.now(), took: d})
@@ -74,8 +74,8 @@
 	b.violate(check, process, request, subject, format, args...)
 }
 
-// Sent notes a caller's request before it goes out.
-func (b *History) Sent(id string, r *request) {
+// RecordSent notes a caller's request before it goes out.
+func (b *History) RecordSent(id string, r *request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r.sent = b.now()
@@ -86,8 +86,8 @@
 	}
 }
 
-// Answered notes an answer that came whole.
-func (b *History) Answered(id string) {
+// RecordAnswered notes an answer that came whole.
+func (b *History) RecordAnswered(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.counts["answered"]++
@@ -109,8 +109,8 @@
 	return !b.end.IsZero() && b.now().After(b.end.Add(-endTime))
 }
 
-// Ended checks that all was well again at the end.
-func (b *History) Ended() {
+// CheckFinalPhase checks that all was well again at the end.
+func (b *History) CheckFinalPhase() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.now().Before(b.end) {
@@ -124,15 +124,15 @@
 	}
 }
 
-// Closed notes that a request's caller has closed its connection.
-func (b *History) Closed(id string) {
+// RecordClosed notes that a request's caller has closed its connection.
+func (b *History) RecordClosed(id string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.requests[id].closed = b.now()
 }
 
-// Arrived checks a request that reaches an upstream.
-func (b *History) Arrived(id, instance, address string) {
+// RecordArrival checks a request that reaches an upstream.
+func (b *History) RecordArrival(id, instance, address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.requests[id]
@@ -160,8 +160,8 @@
 	}
 }
 
-// Ran checks a run of a request at an upstream.
-func (b *History) Ran(x standin.RequestRun) {
+// RecordRun checks a run of a request at an upstream.
+func (b *History) RecordRun(x standin.RequestRun) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.requests[x.Request]
@@ -199,8 +199,8 @@
 	}
 }
 
-// Departed notes that the store has taken the word that an upstream leaves.
-func (b *History) Departed(instance, how string) {
+// RecordDeparture notes that the store has taken the word that an upstream leaves.
+func (b *History) RecordDeparture(instance, how string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if _, ok := b.departed[instance]; ok {
@@ -211,8 +211,8 @@
 	b.note("%s left: %s", instance, how)
 }
 
-// Named notes that the store has taken a version.
-func (b *History) Named(version int) {
+// RecordVersion notes that the store has taken a version.
+func (b *History) RecordVersion(version int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.versions = append(b.versions, named{number: version, at: b.now()})
@@ -220,8 +220,8 @@
 	b.note("version %d named", version)
 }
 
-// Configured notes that the store has taken a configuration.
-func (b *History) Configured(version, size int) {
+// RecordConfig notes that the store has taken a configuration.
+func (b *History) RecordConfig(version, size int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.configs = append(b.configs, named{number: version, at: b.now()})
@@ -242,8 +242,8 @@
 	return due
 }
 
-// Refused checks a promise that a request was not run.
-func (b *History) Refused(id string, status int) {
+// RecordRefused checks a promise that a request was not run.
+func (b *History) RecordRefused(id string, status int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.requests[id]
@@ -254,8 +254,8 @@
 	}
 }
 
-// Denied checks a status that denies a request which is allowed.
-func (b *History) Denied(id string, status, config int) {
+// RecordDenied checks a status that denies a request which is allowed.
+func (b *History) RecordDenied(id string, status, config int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.requests[id]
@@ -274,8 +274,8 @@
 	return len(b.configs) > 0 && b.configs[len(b.configs)-1].number > config+keptRoutes
 }
 
-// Cut checks an answer that did not come whole; head says that some of it came.
-func (b *History) Cut(id string, head bool, why error) {
+// RecordTruncated checks an answer that did not come whole; head says that some of it came.
+func (b *History) RecordTruncated(id string, head bool, why error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.requests[id]
@@ -305,8 +305,8 @@
 		now.Sub(term).Seconds(), now.Sub(r.sent).Seconds(), head, why)
 }
 
-// Failed checks a request that the gateway answers as failed: one that an upstream runs is brought to its end.
-func (b *History) Failed(id string, status int) {
+// RecordFailed checks a request that the gateway answers as failed: one that an upstream runs is brought to its end.
+func (b *History) RecordFailed(id string, status int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.requests[id]
--- a/internal/soak/crasher.go
+++ b/internal/soak/crasher.go
@@ -34,9 +34,9 @@
 
 // crasher repeats a request under which upstreams end, at one gateway after the other, until the context ends.
 func (w *Fleet) crasher(ctx context.Context, s Step) {
-	body := fmt.Sprint(crashMark, s.Pick)
-	w.history.Note("a request under which upstreams end comes again and again: %s", body)
-	every := crashEvery + time.Duration(s.Size*float64(time.Second))
+	body := fmt.Sprint(crashMark, s.Selector)
+	w.history.RecordEvent("a request under which upstreams end comes again and again: %s", body)
+	every := crashEvery + time.Duration(s.Magnitude*float64(time.Second))
 	for n := 0; ctx.Err() == nil; n++ {
 		a := ask{id: fmt.Sprintf("%s.%d", body, n), path: "/chat/", body: body, stream: true}
 		g := w.gateways[n%len(w.gateways)]
@@ -49,10 +49,10 @@
 func (w *Fleet) askOnce(ctx context.Context, a *ask, g *Process) {
 	q, err := a.write()
 	if err != nil {
-		w.history.Note("%s: %v", a.id, err)
+		w.history.RecordEvent("%s: %v", a.id, err)
 		return
 	}
-	w.history.Sent(a.id, &request{gateway: g, crashes: true})
+	w.history.RecordSent(a.id, &request{gateway: g, crashes: true})
 	ctx, stop := context.WithTimeout(ctx, patience)
 	defer stop()
 	q = q.WithContext(ctx)
@@ -79,8 +79,8 @@
 		if !newest || !s.busy.TryLock() {
 			return
 		}
-		s.history.Crashed(body)
-		end := s.history.Begin(s.address, "crashed under a request")
+		s.history.RecordCrash(body)
+		end := s.history.BeginFault(s.address, "crashed under a request")
 		l.Close()
 		go func() {
 			defer s.busy.Unlock()
@@ -90,8 +90,8 @@
 	}
 }
 
-// Crashed notes that an upstream has ended under a marked request.
-func (b *History) Crashed(body string) {
+// RecordCrash notes that an upstream has ended under a marked request.
+func (b *History) RecordCrash(body string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.crashes[body]
--- a/internal/soak/door.go
+++ b/internal/soak/door.go
@@ -9,8 +9,8 @@
 	"github.com/springrail/springrail/internal/standin"
 )
 
-// Door is one process's way to the store.
-type Door struct {
+// StoreEndpoint is one process's way to the store.
+type StoreEndpoint struct {
 	*standin.KeyedEndpoint
 	link *Link
 	// lossy is how many of ten answers are lost after the call took effect.
@@ -19,12 +19,12 @@
 }
 
 // openDoor serves a door on an address until the context ends.
-func openDoor(ctx context.Context, s *standin.KeyedStore, address string) (*Door, error) {
+func openDoor(ctx context.Context, s *standin.KeyedStore, address string) (*StoreEndpoint, error) {
 	l, err := listenLink(address)
 	if err != nil {
 		return nil, err
 	}
-	d := &Door{KeyedEndpoint: s.NewEndpoint(), link: l}
+	d := &StoreEndpoint{KeyedEndpoint: s.NewEndpoint(), link: l}
 	go func() { _ = standin.ServeOn(ctx, l, d) }()
 	return d, nil
 }
@@ -33,7 +33,7 @@
 const tenth = 10
 
 // ServeHTTP implements http.Handler.
-func (d *Door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *StoreEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	n := d.calls.Add(1)
 	if n%tenth >= d.lossy.Load() {
 		d.KeyedEndpoint.ServeHTTP(w, r)
--- a/internal/soak/era.go
+++ b/internal/soak/era.go
@@ -43,19 +43,19 @@
 // comeBack has the store come back from a copy, after it was away or with nobody noticing. Something new is written first;
 // then all is written again that has been since the copy.
 func (w *Fleet) comeBack(ctx context.Context, s Step) {
-	defer w.history.Begin(theStore, doReturn)()
-	away := time.Duration(s.Size * float64(s.For))
-	if s.Pick%4 == 0 {
+	defer w.history.BeginFault(theStore, doReturn)()
+	away := time.Duration(s.Magnitude * float64(s.Duration))
+	if s.Selector%4 == 0 {
 		away = 0
 	}
 	w.setStore(away, standin.KeyedFaults{Status: http.StatusServiceUnavailable})
 	kernel.Pause(ctx, away)
-	w.takeBack(int(s.Pick >> 8))
+	w.takeBack(int(s.Selector >> 8))
 	w.setStore(away, standin.KeyedFaults{})
-	if s.Pick>>4%2 == 0 {
+	if s.Selector>>4%2 == 0 {
 		w.configure(0)
 	}
-	kernel.Pause(ctx, time.Duration(s.Size*float64(writtenAgain)))
+	kernel.Pause(ctx, time.Duration(s.Magnitude*float64(writtenAgain)))
 	w.writeAgain()
 }
 
@@ -69,7 +69,7 @@
 	c := w.copies[pick%len(w.copies)]
 	w.copies = nil
 	w.store.Restore(c.held)
-	w.history.Returned(c.at)
+	w.history.RecordStoreRestore(c.at)
 }
 
 // setStore has the store answer all processes alike, unless it is away for no time.
@@ -106,7 +106,7 @@
 			w.store.Put(serverTopic, key, nil)
 		}
 	}
-	w.history.WrittenAgain()
+	w.history.RecordStoreRewrite()
 }
 
 // watchCalls checks how often processes ask the store, until the context ends.
@@ -117,7 +117,7 @@
 		for _, p := range w.all() {
 			n := p.door.Calls()
 			if made := n - before[p]; made > mostCalls {
-				w.history.Violate("store-calls", p.name, "", "%d calls to the store in a second", made)
+				w.history.RecordViolation("store-calls", p.name, "", "%d calls to the store in a second", made)
 			}
 			before[p] = n
 		}
@@ -127,16 +127,16 @@
 // unknown is the moment of what the store does not hold any more, until it is written again.
 const unknown = 24 * time.Hour
 
-// Returned notes that the store holds nothing of what it has taken since a moment.
-func (b *History) Returned(since time.Time) {
+// RecordStoreRestore notes that the store holds nothing of what it has taken since a moment.
+func (b *History) RecordStoreRestore(since time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.redate(since, b.now().Add(unknown))
 	b.note("the store has come back as it was %.2f s before", b.now().Sub(since).Seconds())
 }
 
-// WrittenAgain notes that the store has taken again what it had lost.
-func (b *History) WrittenAgain() {
+// RecordStoreRewrite notes that the store has taken again what it had lost.
+func (b *History) RecordStoreRewrite() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.redate(b.now(), b.now())
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -104,7 +104,7 @@
 		s.event = eventTimes[i%len(eventTimes)]
 	}
 	*to = append(*to, s)
-	if err := s.Come(ctx); err != nil {
+	if err := s.Start(ctx); err != nil {
 		return err
 	}
 	go s.beat(ctx)
@@ -145,14 +145,14 @@
 	if err != nil {
 		return nil, err
 	}
-	file := filepath.Join(w.settings.Logs, name+".toml")
+	file := filepath.Join(w.settings.LogDir, name+".toml")
 	all := fmt.Sprintf(text, name, w.domain(i), grace, door, ip, swapWithin)
 	if err := os.WriteFile(file, []byte(all), 0o600); err != nil {
 		return nil, trace.Wrap(err)
 	}
 	p := &Process{
-		name: name, program: filepath.Join(w.settings.Bin, "springrail-"+kind), settings: file,
-		log: filepath.Join(w.settings.Logs, name+".log"), door: d, history: w.history,
+		name: name, program: filepath.Join(w.settings.BinDir, "springrail-"+kind), settings: file,
+		log: filepath.Join(w.settings.LogDir, name+".log"), door: d, history: w.history,
 	}
 	return p, p.Start()
 }
@@ -176,7 +176,7 @@
 	for ctx.Err() == nil {
 		ready := true
 		for _, s := range w.engines {
-			ready = ready && s.Serving() > 0
+			ready = ready && s.ServedVersion() > 0
 		}
 		for _, g := range w.gateways {
 			ready = ready && g.ok.Load()
@@ -197,10 +197,10 @@
 	for last := time.Now(); ctx.Err() == nil; {
 		kernel.Pause(ctx, lagLook)
 		now := time.Now()
-		w.history.Ticked()
+		w.history.RecordTick()
 		if late := now.Sub(last) - lagLook; late > lagMost {
-			w.history.Stalled(late)
-			w.history.Begin(theMachine, fmt.Sprintf("stood still for %v", late.Round(time.Millisecond)))()
+			w.history.RecordStall(late)
+			w.history.BeginFault(theMachine, fmt.Sprintf("stood still for %v", late.Round(time.Millisecond)))()
 		}
 		last = now
 	}
@@ -214,7 +214,7 @@
 	b := configOf(w.config, size > bigShare, w.origin)
 	w.lastConfig = b
 	w.store.Put(operatorTopic, configKey, b)
-	w.history.Configured(w.config, len(b))
+	w.history.RecordConfig(w.config, len(b))
 }
 
 // bigShare is the share of configurations that are small.
@@ -226,7 +226,7 @@
 	defer w.mu.Unlock()
 	w.version++
 	w.putVersion()
-	w.history.Named(w.version)
+	w.history.RecordVersion(w.version)
 }
 
 // putVersion writes the newest version; the caller holds the lock.
@@ -243,7 +243,7 @@
 		return err
 	}
 	start := time.Now()
-	w.history.Note("all engines serve, all gateways are ready")
+	w.history.RecordEvent("all engines serve, all gateways are ready")
 	length := time.Duration(w.settings.Seconds) * time.Second
 	w.history.end = start.Add(length)
 	ctx, stop := context.WithDeadline(ctx, w.history.end)
@@ -266,6 +266,6 @@
 	<-ctx.Done()
 	asking.Wait()
 	w.steps.Wait()
-	w.history.Ended()
+	w.history.CheckFinalPhase()
 	return nil
 }
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// Note keeps an event.
-func (b *History) Note(format string, args ...any) {
+// RecordEvent keeps an event.
+func (b *History) RecordEvent(format string, args ...any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.note(format, args...)
@@ -144,8 +144,8 @@
 	return maps.Clone(b.counts)
 }
 
-// Begin opens the time of a fault and returns what closes it.
-func (b *History) Begin(target, what string) func() {
+// BeginFault opens the time of a fault and returns what closes it.
+func (b *History) BeginFault(target, what string) func() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := &span{what: what, from: b.now()}
@@ -172,8 +172,8 @@
 	return true
 }
 
-// Violate keeps a violation.
-func (b *History) Violate(check, process, request, format string, args ...any) {
+// RecordViolation keeps a violation.
+func (b *History) RecordViolation(check, process, request, format string, args ...any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.violate(check, process, request, "", format, args...)
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -28,7 +28,7 @@
 
 // inject carries out a step.
 func (w *Fleet) inject(ctx context.Context, s Step) {
-	switch s.Do {
+	switch s.Action {
 	case doPause, doKill, doTerm:
 		w.hurtProcess(ctx, s)
 	case doDelay, doReset, doOneWay, doSilence:
@@ -36,7 +36,7 @@
 	case doDown, doMute, doSlow, doLossy:
 		w.hurtStore(ctx, s, "", w.all())
 	case doForget:
-		defer w.history.Begin(theStore, "forgot its history")()
+		defer w.history.BeginFault(theStore, "forgot its history")()
 		w.store.TruncateHistory(operatorTopic)
 		w.store.TruncateHistory(serverTopic)
 	case doRefuse, doCutOne, doStoreRst:
@@ -46,7 +46,7 @@
 	case doVersion:
 		w.name()
 	case doConfig:
-		w.configure(s.Size)
+		w.configure(s.Magnitude)
 	case doCrasher:
 		w.crasher(ctx, s)
 	case doLimit:
@@ -62,41 +62,41 @@
 
 // pauseEngine has an engine send nothing for a while. That is no fault: its answers go on afterwards.
 func (w *Fleet) pauseEngine(ctx context.Context, s Step) {
-	u := w.engines[int(s.Pick>>8)%len(w.engines)]
+	u := w.engines[int(s.Selector>>8)%len(w.engines)]
 	u.mu.Lock()
 	l := u.link
 	u.mu.Unlock()
-	l.Hold(true)
-	kernel.Pause(ctx, s.For)
-	l.Hold(false)
+	l.HoldAnswers(true)
+	kernel.Pause(ctx, s.Duration)
+	l.HoldAnswers(false)
 }
 
 // hurtProcess pauses, kills or terminates a gateway or a stager that nothing else happens to.
 func (w *Fleet) hurtProcess(ctx context.Context, s Step) {
-	p := w.stagers[int(s.Pick>>8)%len(w.stagers)]
-	if s.Pick%tenth > 1 {
+	p := w.stagers[int(s.Selector>>8)%len(w.stagers)]
+	if s.Selector%tenth > 1 {
 		p = w.gateway(s)
 	}
 	if !p.busy.TryLock() {
 		return
 	}
 	defer p.busy.Unlock()
-	switch s.Do {
+	switch s.Action {
 	case doPause:
-		p.Pause(ctx, s.For)
+		p.Pause(ctx, s.Duration)
 	case doKill:
-		p.Kill(ctx, s.For)
+		p.Kill(ctx, s.Duration)
 	default:
-		p.Terminate(ctx, s.For)
+		p.Terminate(ctx, s.Duration)
 	}
 }
 
 // gateway picks a gateway, often the one that reads for its domain.
 func (w *Fleet) gateway(s Step) *Process {
-	if s.Size > readerShare {
-		return w.gateways[int(s.Pick>>8)%len(w.gateways)]
+	if s.Magnitude > readerShare {
+		return w.gateways[int(s.Selector>>8)%len(w.gateways)]
 	}
-	d := w.domain(int(s.Pick >> 8 % 1024))
+	d := w.domain(int(s.Selector >> 8 % 1024))
 	var l []string
 	by := map[string]*Process{}
 	for i, g := range w.gateways {
@@ -115,29 +115,29 @@
 	u.mu.Lock()
 	l := u.link
 	u.mu.Unlock()
-	defer w.history.Begin(u.address, s.Do)()
-	switch s.Do {
+	defer w.history.BeginFault(u.address, s.Action)()
+	switch s.Action {
 	case doDelay:
-		l.Delay(time.Duration(s.Size * float64(slowLink)))
-		kernel.Pause(ctx, s.For)
-		l.Delay(0)
+		l.SetDelay(time.Duration(s.Magnitude * float64(slowLink)))
+		kernel.Pause(ctx, s.Duration)
+		l.SetDelay(0)
 	case doReset:
 		l.Reset()
 	case doOneWay:
-		l.Hold(true)
-		kernel.Pause(ctx, s.For)
-		l.Hold(false)
+		l.HoldAnswers(true)
+		kernel.Pause(ctx, s.Duration)
+		l.HoldAnswers(false)
 	case doSilence:
-		l.Silence(false)
+		l.SetSilent(false)
 	}
 }
 
 func (w *Fleet) upstream(s Step) *Slot {
 	l := w.plain
-	if s.Pick%2 == 0 {
+	if s.Selector%2 == 0 {
 		l = slices.Concat(w.engines, []*Slot{w.weights})
 	}
-	return l[int(s.Pick>>8)%len(l)]
+	return l[int(s.Selector>>8)%len(l)]
 }
 
 // hurtStore hurts the store for some of its callers; target is the one to hold to account, or empty for the store itself.
@@ -145,37 +145,37 @@
 	if target == "" {
 		target = theStore
 	}
-	defer w.history.Begin(target, s.Do)()
+	defer w.history.BeginFault(target, s.Action)()
 	set := func(f standin.KeyedFaults, lossy int32) {
 		for _, p := range l {
 			p.door.SetFaults(f)
 			p.door.lossy.Store(lossy)
 		}
 	}
-	switch s.Do {
+	switch s.Action {
 	case doDown, doRefuse:
 		set(standin.KeyedFaults{Status: http.StatusServiceUnavailable}, 0)
 	case doMute:
 		set(standin.KeyedFaults{Silent: true}, 0)
 	case doSlow:
-		set(standin.KeyedFaults{DelayMs: int(s.Size * float64(slowStore.Milliseconds()))}, 0)
+		set(standin.KeyedFaults{DelayMs: int(s.Magnitude * float64(slowStore.Milliseconds()))}, 0)
 	case doLossy:
-		set(standin.KeyedFaults{}, 1+int32(s.Size*lossyMost))
+		set(standin.KeyedFaults{}, 1+int32(s.Magnitude*lossyMost))
 	}
-	kernel.Pause(ctx, s.For)
+	kernel.Pause(ctx, s.Duration)
 	set(standin.KeyedFaults{}, 0)
 }
 
 // hurtDoors hurts the store for some processes while it serves the others.
 func (w *Fleet) hurtDoors(ctx context.Context, s Step) {
-	if s.Do != doRefuse {
+	if s.Action != doRefuse {
 		w.hurtDoor(ctx, s, w.gateway(s))
 		return
 	}
 	// About a third of all is refused.
 	var all sync.WaitGroup
 	for i, p := range w.all() {
-		if s.Pick>>(2*i%60)%3 == 0 {
+		if s.Selector>>(2*i%60)%3 == 0 {
 			all.Go(func() { w.hurtStore(ctx, s, p.name, []*Process{p}) })
 		}
 	}
@@ -184,37 +184,37 @@
 
 // hurtDoor cuts one gateway off from the store: its connections fall silent and new ones too, or they are reset.
 func (w *Fleet) hurtDoor(ctx context.Context, s Step, p *Process) {
-	defer w.history.Begin(p.name, s.Do)()
-	if s.Do == doStoreRst {
+	defer w.history.BeginFault(p.name, s.Action)()
+	if s.Action == doStoreRst {
 		p.door.link.Reset()
 		return
 	}
-	if s.Pick%2 == 0 {
+	if s.Selector%2 == 0 {
 		p.door.SetFaults(standin.KeyedFaults{Status: http.StatusServiceUnavailable})
-		kernel.Pause(ctx, s.For)
+		kernel.Pause(ctx, s.Duration)
 		p.door.SetFaults(standin.KeyedFaults{})
 		return
 	}
-	p.door.link.Silence(true)
-	kernel.Pause(ctx, s.For)
-	p.door.link.Silence(false)
+	p.door.link.SetSilent(true)
+	kernel.Pause(ctx, s.Duration)
+	p.door.link.SetSilent(false)
 }
 
 // depart lets an upstream leave, if enough others stay.
 func (w *Fleet) depart(ctx context.Context, s Step) {
 	l, least := w.plain, leastPlain
-	if s.Size < w.settings.Engines {
+	if s.Magnitude < w.settings.EngineShare {
 		l, least = w.engines, leastEngines
 	}
-	u := stays(l, least, int(s.Pick>>16), s.Pick%2 == 0)
+	u := stays(l, least, int(s.Selector>>16), s.Selector%2 == 0)
 	if u == nil {
 		return
 	}
 	defer u.busy.Unlock()
-	away := time.Duration(s.Pick % uint64(awayMost))
-	switch s.Do {
+	away := time.Duration(s.Selector % uint64(awayMost))
+	switch s.Action {
 	case doLeave, doGone:
-		u.Leave(ctx, s.Do == doLeave, away)
+		u.Leave(ctx, s.Action == doLeave, away)
 	case doCrash:
 		u.Crash(ctx, away)
 	case doRestart:
--- a/internal/soak/limit.go
+++ b/internal/soak/limit.go
@@ -39,18 +39,18 @@
 	u.mu.Lock()
 	server, id, listed := u.server, u.id, u.listed
 	u.mu.Unlock()
-	perSecond := leastLimit + s.Size*(mostLimit-leastLimit)
-	if !listed || !w.history.Limited(id, perSecond) {
+	perSecond := leastLimit + s.Magnitude*(mostLimit-leastLimit)
+	if !listed || !w.history.RecordLimit(id, perSecond) {
 		return
 	}
-	server.SetLimit(fmt.Sprintf("%.2f", perSecond), s.Pick>>4%2 == 0)
-	kernel.Pause(ctx, s.For)
+	server.SetLimit(fmt.Sprintf("%.2f", perSecond), s.Selector>>4%2 == 0)
+	kernel.Pause(ctx, s.Duration)
 	server.SetLimit("", false)
-	w.history.Unlimited(id)
+	w.history.RecordLimitEnd(id)
 }
 
-// Limited notes that an upstream names a limit from now on; false where it has one already.
-func (b *History) Limited(instance string, perSecond float64) bool {
+// RecordLimit notes that an upstream names a limit from now on; false where it has one already.
+func (b *History) RecordLimit(instance string, perSecond float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.limits[instance] != nil {
@@ -62,8 +62,8 @@
 	return true
 }
 
-// Unlimited notes that an upstream names no limit any more.
-func (b *History) Unlimited(instance string) {
+// RecordLimitEnd notes that an upstream names no limit any more.
+func (b *History) RecordLimitEnd(instance string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.limits, instance)
--- a/internal/soak/limit_test.go
+++ b/internal/soak/limit_test.go
@@ -21,7 +21,7 @@
 	}
 
 	It("finds a limit that is broken once gateways have been told", func() {
-		Expect(h.Limited("u", 2)).To(BeTrue())
+		Expect(h.RecordLimit("u", 2)).To(BeTrue())
 		arriveEvery(100*time.Millisecond, 4*time.Second)
 		Expect(h.broken()).To(BeEmpty())
 		arriveEvery(100*time.Millisecond, 4*time.Second)
@@ -29,13 +29,13 @@
 	})
 
 	It("lets pass what a limit allows, what a fault excuses, and what comes after its end", func() {
-		Expect(h.Limited("u", 2)).To(BeTrue())
-		Expect(h.Limited("u", 3)).To(BeFalse())
+		Expect(h.RecordLimit("u", 2)).To(BeTrue())
+		Expect(h.RecordLimit("u", 3)).To(BeFalse())
 		arriveEvery(400*time.Millisecond, 20*time.Second)
-		done := h.Begin("g", doPause)
+		done := h.BeginFault("g", doPause)
 		arriveEvery(100*time.Millisecond, 8*time.Second)
 		done()
-		h.Unlimited("u")
+		h.RecordLimitEnd("u")
 		arriveEvery(100*time.Millisecond, 8*time.Second)
 		Expect(h.broken()).To(BeEmpty())
 	})
--- a/internal/soak/link.go
+++ b/internal/soak/link.go
@@ -45,15 +45,15 @@
 	return k, nil
 }
 
-// Delay holds up all that comes in by a time; 0 heals.
-func (l *Link) Delay(d time.Duration) {
+// SetDelay holds up all that comes in by a time; 0 heals.
+func (l *Link) SetDelay(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay = d
 }
 
-// Hold keeps answers back until it is called with false: the link is cut one way.
-func (l *Link) Hold(held bool) {
+// HoldAnswers keeps answers back until it is called with false: the link is cut one way.
+func (l *Link) HoldAnswers(held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.held != nil {
@@ -65,8 +65,8 @@
 	}
 }
 
-// Silence makes the present connections silent for good, without a reset, and new ones too until it is called with false.
-func (l *Link) Silence(all bool) {
+// SetSilent makes the present connections silent for good, without a reset, and new ones too until it is called with false.
+func (l *Link) SetSilent(all bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.silent = all
@@ -89,7 +89,7 @@
 // Close ends the listener and breaks its connections, as the death of the process behind it does.
 func (l *Link) Close() error {
 	err := l.Listener.Close()
-	l.Hold(false)
+	l.HoldAnswers(false)
 	l.Reset()
 	return err
 }
--- a/internal/soak/main.go
+++ b/internal/soak/main.go
@@ -61,9 +61,9 @@
 	a.Flag("gateways", "Number of gateways.").Default("4").IntVar(&f.Gateways)
 	a.Flag("stagers", "Number of stagers, each with a model engine.").Default("6").IntVar(&f.Stagers)
 	a.Flag("domains", "Number of failure domains.").Default("2").IntVar(&f.Domains)
-	a.Flag("engines", "Share of departures that are of engines.").Default("0.15").Float64Var(&f.Engines)
+	a.Flag("engines", "Share of departures that are of engines.").Default("0.15").Float64Var(&f.EngineShare)
 	a.Flag("faults", "What may be drawn, split by commas; all without: "+strings.Join(known(), ", ")+".").StringVar(&f.list)
-	a.Flag("bin", "Folder with springrail-gateway and springrail-stager.").Default("bin").StringVar(&f.Bin)
+	a.Flag("bin", "Folder with springrail-gateway and springrail-stager.").Default("bin").StringVar(&f.BinDir)
 	a.Flag("keep-logs", "Folder that keeps the processes' logs, one folder for each seed.").StringVar(&f.keep)
 	a.Flag("cases", "Run the kept cases instead of --seed and --seeds.").BoolVar(&f.cases)
 	a.Flag("known-red", "Check that is known to fail: what it finds is printed, and does not fail the run; may be given again.").
@@ -148,7 +148,7 @@
 	if f.cases {
 		l := slices.Clone(cases)
 		for i := range l {
-			l[i].Bin = f.Bin
+			l[i].BinDir = f.BinDir
 		}
 		return l
 	}
@@ -176,7 +176,7 @@
 	if f.keep == "" {
 		defer os.RemoveAll(dir)
 	}
-	s.Logs = dir
+	s.LogDir = dir
 	b, err := Run(ctx, s)
 	if err != nil {
 		r.Problem = err.Error()
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -50,12 +50,12 @@
 
 // Step is one thing to do.
 type Step struct {
-	At  time.Duration
-	Do  string
-	For time.Duration
-	// Pick chooses the target among those there are, and Size how much.
-	Pick uint64
-	Size float64
+	At       time.Duration
+	Action   string
+	Duration time.Duration
+	// Selector chooses the target among those there are, and Size how much.
+	Selector  uint64
+	Magnitude float64
 }
 
 const (
@@ -186,7 +186,7 @@
 
 // add draws a step's target and size.
 func (p *planner) add(at time.Duration, do string, d time.Duration) bool {
-	s := Step{At: at, Do: do, For: d, Pick: p.r.Uint64(), Size: p.r.Float64()}
+	s := Step{At: at, Action: do, Duration: d, Selector: p.r.Uint64(), Magnitude: p.r.Float64()}
 	if at < 0 || at+d > p.end {
 		return false
 	}
@@ -224,8 +224,8 @@
 	if len(of) == 0 {
 		return
 	}
-	s.At += p.between(0, s.For/4)
-	s.Do, s.For = of[p.r.IntN(len(of))], p.between(0, s.For/4)
+	s.At += p.between(0, s.Duration/4)
+	s.Action, s.Duration = of[p.r.IntN(len(of))], p.between(0, s.Duration/4)
 	p.steps = append(p.steps, s)
 }
 
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -35,7 +35,7 @@
 	front string
 	// internal is where other processes follow a gateway.
 	internal string
-	door     *Door
+	door     *StoreEndpoint
 	history  *History
 
 	mu sync.Mutex
@@ -73,7 +73,7 @@
 		err := c.Wait()
 		p.ok.Store(false)
 		if !p.ordered.Load() {
-			p.history.Violate("ended-by-itself", p.name, "", "the process ended by itself: %v", err)
+			p.history.RecordViolation("ended-by-itself", p.name, "", "the process ended by itself: %v", err)
 		}
 		close(ended)
 	}()
@@ -110,7 +110,7 @@
 
 // Pause stops the process for a time.
 func (p *Process) Pause(ctx context.Context, d time.Duration) {
-	end := p.history.Begin(p.name, spanPaused)
+	end := p.history.BeginFault(p.name, spanPaused)
 	defer end()
 	p.signal(syscall.SIGSTOP)
 	kernel.Pause(ctx, d)
@@ -119,7 +119,7 @@
 
 // Kill ends the process at once and starts it again after a time.
 func (p *Process) Kill(ctx context.Context, d time.Duration) {
-	end := p.history.Begin(p.name, spanKilled)
+	end := p.history.BeginFault(p.name, spanKilled)
 	defer end()
 	p.ordered.Store(true)
 	<-p.signal(syscall.SIGKILL)
@@ -128,7 +128,7 @@
 
 // Terminate asks the process to end, and starts it again a time after it has.
 func (p *Process) Terminate(ctx context.Context, d time.Duration) {
-	end := p.history.Begin(p.name, spanTerminated)
+	end := p.history.BeginFault(p.name, spanTerminated)
 	defer end()
 	p.ordered.Store(true)
 	p.termAt.Store(time.Now().UnixNano())
@@ -138,7 +138,7 @@
 	case <-ctx.Done():
 		return
 	case <-time.After(grace + exitSlack):
-		p.history.Outlived(p.name, time.Unix(0, p.termAt.Load()))
+		p.history.RecordOverdueExit(p.name, time.Unix(0, p.termAt.Load()))
 		<-p.signal(syscall.SIGKILL)
 	}
 	p.again(ctx, d)
@@ -150,7 +150,7 @@
 		return
 	}
 	if err := p.Start(); err != nil {
-		p.history.Violate("start", p.name, "", "%v", err)
+		p.history.RecordViolation("start", p.name, "", "%v", err)
 		return
 	}
 	p.waitReady(ctx)
@@ -165,7 +165,7 @@
 	until := time.Now().Add(readyWithin)
 	for ctx.Err() == nil && !p.ok.Load() {
 		if time.Now().After(until) {
-			p.history.Note("%s is not ready after %v", p.name, readyWithin)
+			p.history.RecordEvent("%s is not ready after %v", p.name, readyWithin)
 			return
 		}
 		kernel.Pause(ctx, readyLook)
--- a/internal/soak/rest.go
+++ b/internal/soak/rest.go
@@ -48,10 +48,10 @@
 	if !listed {
 		return
 	}
-	w.history.Note("%s asks for rest", id)
+	w.history.RecordEvent("%s asks for rest", id)
 	w.history.Count("upstreams that ask for rest")
-	server.SetRetryAfter(fmt.Sprintf("%.2f", leastRest+s.Size*(mostRest-leastRest)))
-	kernel.Pause(ctx, s.For)
+	server.SetRetryAfter(fmt.Sprintf("%.2f", leastRest+s.Magnitude*(mostRest-leastRest)))
+	kernel.Pause(ctx, s.Duration)
 	server.SetRetryAfter("")
 }
 
@@ -66,8 +66,8 @@
 	return t
 }
 
-// ToldLeaving notes that a gateway has passed on an answer of an upstream that says that it leaves.
-func (b *History) ToldLeaving(id, instance string) {
+// RecordLeavingNotice notes that a gateway has passed on an answer of an upstream that says that it leaves.
+func (b *History) RecordLeavingNotice(id, instance string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if t := b.toldOf(b.requests[id].gateway.name, instance); t.leaving.IsZero() {
@@ -76,8 +76,8 @@
 	}
 }
 
-// AskedForRest notes that an upstream has turned a request away and named a Retry-After.
-func (b *History) AskedForRest(id, instance, retryAfter string) {
+// RecordRestRequest notes that an upstream has turned a request away and named a Retry-After.
+func (b *History) RecordRestRequest(id, instance, retryAfter string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r, s := b.requests[id], retryAfter
--- a/internal/soak/rest_test.go
+++ b/internal/soak/rest_test.go
@@ -15,7 +15,7 @@
 	})
 
 	It("find a request that reaches an upstream long after its gateway was told that it leaves", func() {
-		h.ToldLeaving("1", "u")
+		h.RecordLeavingNotice("1", "u")
 		h.pass(toldWithinLeaving)
 		h.arrive()
 		Expect(h.broken()).To(BeEmpty())
@@ -25,10 +25,10 @@
 	})
 
 	DescribeTable("let a fault excuse a gateway that was told", func(what string, excused bool) {
-		h.ToldLeaving("1", "u")
-		h.AskedForRest("1", "u", "30")
+		h.RecordLeavingNotice("1", "u")
+		h.RecordRestRequest("1", "u", "30")
 		h.pass(time.Second)
-		h.Begin("g", what)()
+		h.BeginFault("g", what)()
 		h.pass(toldWithinLeaving + 1)
 		for range restMost + 1 {
 			h.arrive()
@@ -43,7 +43,7 @@
 		Entry("that cuts it off from the store", doCutOne, false))
 
 	It("find three requests of a gateway in a rest, and pass over those on their way and after it", func() {
-		h.AskedForRest("1", "u", "3")
+		h.RecordRestRequest("1", "u", "3")
 		for range 5 {
 			h.arrive()
 		}
@@ -55,7 +55,7 @@
 		Expect(h.broken()).To(Equal([]string{"rest"}))
 		other := newHistory()
 		other.send()
-		other.AskedForRest("1", "u", "3")
+		other.RecordRestRequest("1", "u", "3")
 		other.pass(3*time.Second + 1)
 		for range 5 {
 			other.arrive()
@@ -70,16 +70,16 @@
 		h.send()
 		copied := h.at
 		h.pass(time.Second)
-		h.Departed("u", stateDraining)
-		h.Named(2)
-		h.Configured(3, 1)
-		h.Returned(copied)
+		h.RecordDeparture("u", stateDraining)
+		h.RecordVersion(2)
+		h.RecordConfig(3, 1)
+		h.RecordStoreRestore(copied)
 		h.pass(time.Hour)
 		h.arrive()
 		h.runs(1)
 		Expect(h.configDue()).To(BeZero())
 		Expect(h.broken()).To(BeEmpty())
-		h.WrittenAgain()
+		h.RecordStoreRewrite()
 		h.pass(swapWithin + 1)
 		h.arrive()
 		h.runs(1)
--- a/internal/soak/settings.go
+++ b/internal/soak/settings.go
@@ -13,13 +13,13 @@
 	Gateways int
 	Stagers  int
 	Domains  int
-	// Engines is the share of departures that are of engines and not of plain upstreams.
-	Engines float64
+	// EngineShare is the share of departures that are of engines and not of plain upstreams.
+	EngineShare float64
 	// Faults names what may be drawn; empty is all.
 	Faults []string
-	Bin    string
-	// Logs is the folder for the processes' logs.
-	Logs string
+	BinDir string
+	// LogDir is the folder for the processes' logs.
+	LogDir string
 }
 
 const (
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -37,19 +37,19 @@
 }
 
 func (h *history) pass(d time.Duration) { h.at = h.at.Add(d) }
-func (h *history) send()                { h.Sent("1", &request{gateway: h.gateway}) }
-func (h *history) sendUnsafe()          { h.Sent("1", &request{gateway: h.gateway, unsafe: true}) }
-func (h *history) arrive()              { h.Arrived("1", "u", "a") }
+func (h *history) send()                { h.RecordSent("1", &request{gateway: h.gateway}) }
+func (h *history) sendUnsafe()          { h.RecordSent("1", &request{gateway: h.gateway, unsafe: true}) }
+func (h *history) arrive()              { h.RecordArrival("1", "u", "a") }
 func (h *history) term()                { h.gateway.termAt.Store(h.at.UnixNano()) }
-func (h *history) cut(head bool)        { h.Cut("1", head, io.ErrUnexpectedEOF) }
+func (h *history) cut(head bool)        { h.RecordTruncated("1", head, io.ErrUnexpectedEOF) }
 
 func (h *history) runs(version int) {
-	h.Ran(standin.RequestRun{Request: "1", Instance: "u", Version: version, At: h.at})
+	h.RecordRun(standin.RequestRun{Request: "1", Instance: "u", Version: version, At: h.at})
 }
 
 // leaves lets the upstream leave and a time pass.
 func (h *history) leaves(d time.Duration) {
-	h.Departed("u", stateDraining)
+	h.RecordDeparture("u", stateDraining)
 	h.pass(d)
 }
 
@@ -72,7 +72,7 @@
 			func(h *history) { h.leaves(leaveWithin); h.send(); h.arrive() }),
 		Entry("and later none", func(h *history) { h.leaves(leaveWithin + 1); h.send(); h.arrive() }, "leaving"),
 		Entry("unless the gateway was hurt lately", func(h *history) {
-			end := h.Begin("g", "paused")
+			end := h.BeginFault("g", "paused")
 			h.leaves(time.Minute)
 			end()
 			h.pass(settle - 1)
@@ -80,29 +80,29 @@
 			h.arrive()
 		}),
 		Entry("and not long ago", func(h *history) {
-			h.Begin("g", "paused")()
+			h.BeginFault("g", "paused")()
 			h.leaves(settle)
 			h.send()
 			h.arrive()
 		}, "leaving"),
 		Entry("a fault of another gateway excuses nothing", func(h *history) {
-			defer h.Begin("other", "paused")()
+			defer h.BeginFault("other", "paused")()
 			h.leaves(settle)
 			h.send()
 			h.arrive()
 		}, "leaving"),
 		Entry("an older version has its time", func(h *history) {
-			h.Named(2)
+			h.RecordVersion(2)
 			h.pass(swapWithin)
 			h.send()
 			h.runs(1)
 			h.pass(1)
 			h.runs(2)
 		}),
-		Entry("and no more", func(h *history) { h.Named(2); h.pass(swapWithin + 1); h.send(); h.runs(1) }, "version"),
+		Entry("and no more", func(h *history) { h.RecordVersion(2); h.pass(swapWithin + 1); h.send(); h.runs(1) }, "version"),
 		Entry("which whoever could not read the naming counts from later", func(h *history) {
-			end := h.Begin(theStore, "down")
-			h.Named(2)
+			end := h.BeginFault(theStore, "down")
+			h.RecordVersion(2)
 			end()
 			h.pass(2 * swapWithin)
 			h.send()
@@ -110,29 +110,29 @@
 		}),
 		Entry("a safe request may run again", func(h *history) { h.send(); h.runs(0); h.runs(0) }),
 		Entry("an unsafe one may not", func(h *history) { h.sendUnsafe(); h.runs(0); h.runs(0) }, "once-at-most"),
-		Entry("a refused request has not run", func(h *history) { h.send(); h.runs(0); h.Refused("1", 503) }, "refused-ran"),
-		Entry("and never does", func(h *history) { h.send(); h.Refused("1", 503); h.runs(0) }, "refused-ran"),
+		Entry("a refused request has not run", func(h *history) { h.send(); h.runs(0); h.RecordRefused("1", 503) }, "refused-ran"),
+		Entry("and never does", func(h *history) { h.send(); h.RecordRefused("1", 503); h.runs(0) }, "refused-ran"),
 		Entry("a request arrives just after its caller has gone",
-			func(h *history) { h.send(); h.Closed("1"); h.pass(goneWithin); h.arrive() }),
+			func(h *history) { h.send(); h.RecordClosed("1"); h.pass(goneWithin); h.arrive() }),
 		Entry("and not half a second later",
-			func(h *history) { h.send(); h.Closed("1"); h.pass(goneWithin + 1); h.arrive() }, "gone-client"),
+			func(h *history) { h.send(); h.RecordClosed("1"); h.pass(goneWithin + 1); h.arrive() }, "gone-client"),
 		Entry("nobody has sent what arrives", func(h *history) { h.arrive() }, "unknown-request"),
-		Entry("an allowed request is not denied", func(h *history) { h.send(); h.Denied("1", 403, 0) }, "denied"),
+		Entry("an allowed request is not denied", func(h *history) { h.send(); h.RecordDenied("1", 403, 0) }, "denied"),
 		Entry("a configuration is in force", func(h *history) {
-			h.Configured(7, 1)
+			h.RecordConfig(7, 1)
 			h.pass(configWithin + 1)
 			h.send()
-			h.Denied("1", 404, h.configDue())
+			h.RecordDenied("1", 404, h.configDue())
 		}, "configuration"),
 		Entry("after its time only", func(h *history) {
-			h.Configured(7, 1)
+			h.RecordConfig(7, 1)
 			h.pass(configWithin)
 			Expect(h.configDue()).To(BeZero())
 		}),
 		Entry("until one without the route follows", func(h *history) {
-			h.Configured(8+keptRoutes, 1)
+			h.RecordConfig(8+keptRoutes, 1)
 			h.send()
-			h.Denied("1", 404, 7)
+			h.RecordDenied("1", 404, 7)
 		}),
 		Entry("a planned stop cuts nothing", func(h *history) { h.send(); h.term(); h.pass(time.Second); h.cut(true) }, "lost"),
 		Entry("and may close what has not begun", func(h *history) { h.term(); h.send(); h.pass(raceTime); h.cut(false) }),
@@ -141,19 +141,19 @@
 			h.send()
 			h.arrive()
 			h.term()
-			h.Begin("a", "crashed")()
+			h.BeginFault("a", "crashed")()
 			h.cut(true)
 		}),
 		Entry("a request that is seen as this process runs on after it stood still is excused", func(h *history) {
 			h.leaves(leaveWithin + 1)
-			h.Ticked()
+			h.RecordTick()
 			h.pass(lagLook + lagMost + 1)
 			h.send()
 			h.arrive()
 		}),
 		Entry("and not one while it runs", func(h *history) {
 			h.leaves(leaveWithin + 1)
-			h.Ticked()
+			h.RecordTick()
 			h.pass(lagLook + lagMost)
 			h.send()
 			h.arrive()
@@ -161,42 +161,42 @@
 		Entry("a process that outlives its time", func(h *history) {
 			asked := h.at
 			h.pass(grace)
-			h.Outlived("g", asked)
+			h.RecordOverdueExit("g", asked)
 		}, "grace"),
 		Entry("is excused where this process stood still for what is over", func(h *history) {
 			asked := h.at
 			h.pass(4 * time.Second)
-			h.Stalled(3 * time.Second)
+			h.RecordStall(3 * time.Second)
 			h.pass(grace - 2*time.Second)
-			h.Outlived("g", asked)
+			h.RecordOverdueExit("g", asked)
 		}),
 		Entry("and not by a short stall, nor by one before it was asked", func(h *history) {
-			h.Stalled(time.Minute)
+			h.RecordStall(time.Minute)
 			asked := h.at
 			h.pass(time.Second)
-			h.Stalled(200 * time.Millisecond)
+			h.RecordStall(200 * time.Millisecond)
 			h.pass(grace)
-			h.Outlived("g", asked)
+			h.RecordOverdueExit("g", asked)
 		}, "grace"),
 		Entry("an answer that ends with the run is the run's doing", func(h *history) {
 			h.end = h.at.Add(time.Second)
 			h.send()
 			h.runs(0)
 			h.pass(time.Second)
-			h.Failed("1", 502)
+			h.RecordFailed("1", 502)
 		}),
 		Entry("and one that ends before it is not", func(h *history) {
 			h.end = h.at.Add(time.Second)
 			h.send()
 			h.runs(0)
 			h.pass(time.Second - 1)
-			h.Failed("1", 502)
+			h.RecordFailed("1", 502)
 		}, "ended-early"),
 		Entry("an answer that has begun is brought to its end", func(h *history) { h.send(); h.arrive(); h.cut(true) }, "ended-early"),
 		Entry("and one that runs", func(h *history) { h.send(); h.arrive(); h.runs(0); h.cut(false) }, "ended-early"),
-		Entry("which is not answered as failed either", func(h *history) { h.send(); h.arrive(); h.runs(0); h.Failed("1", 502) }, "ended-early"),
+		Entry("which is not answered as failed either", func(h *history) { h.send(); h.arrive(); h.runs(0); h.RecordFailed("1", 502) }, "ended-early"),
 		Entry("nor as its version ends, where some of it has come", func(h *history) {
-			h.Named(2)
+			h.RecordVersion(2)
 			h.pass(swapWithin - givenUpBefore + 1)
 			h.send()
 			h.arrive()
@@ -204,20 +204,20 @@
 			h.cut(true)
 		}, "ended-early"),
 		Entry("but where nothing of it has come", func(h *history) {
-			h.Named(2)
+			h.RecordVersion(2)
 			h.pass(swapWithin - givenUpBefore + 1)
 			h.send()
 			h.arrive()
 			h.runs(1)
-			h.Failed("1", 502)
+			h.RecordFailed("1", 502)
 		}),
 		Entry("and not before that", func(h *history) {
-			h.Named(2)
+			h.RecordVersion(2)
 			h.pass(swapWithin - givenUpBefore)
 			h.send()
 			h.arrive()
 			h.runs(1)
-			h.Failed("1", 502)
+			h.RecordFailed("1", 502)
 		}, "ended-early"),
 		Entry("before its caller's deadline", func(h *history) { h.send(); h.arrive(); h.pass(patience - 1); h.cut(true) }, "ended-early"),
 		Entry("but not after it", func(h *history) { h.send(); h.arrive(); h.pass(patience); h.cut(true) }),
@@ -225,12 +225,18 @@
 		Entry("unless its upstream has crashed", func(h *history) {
 			h.send()
 			h.arrive()
-			h.Begin("a", "crashed")()
+			h.BeginFault("a", "crashed")()
 			h.cut(true)
 		}),
-		Entry("or its gateway was killed", func(h *history) { h.send(); h.arrive(); h.Begin(h.gateway.name, "killed")(); h.cut(true) }),
-		Entry("all is well at the end", func(h *history) { h.end = h.at.Add(endTime - 1); h.send(); h.Answered("1"); h.pass(endTime); h.Ended() }),
-		Entry("or it is not", func(h *history) { h.end = h.at.Add(endTime - 1); h.send(); h.pass(endTime); h.Ended() }, "well-again"),
+		Entry("or its gateway was killed", func(h *history) { h.send(); h.arrive(); h.BeginFault(h.gateway.name, "killed")(); h.cut(true) }),
+		Entry("all is well at the end", func(h *history) {
+			h.end = h.at.Add(endTime - 1)
+			h.send()
+			h.RecordAnswered("1")
+			h.pass(endTime)
+			h.CheckFinalPhase()
+		}),
+		Entry("or it is not", func(h *history) { h.end = h.at.Add(endTime - 1); h.send(); h.pass(endTime); h.CheckFinalPhase() }, "well-again"),
 		Entry("nor what comes after the grace", func(h *history) { h.send(); h.term(); h.pass(grace); h.cut(true) }),
 	)
 
@@ -250,7 +256,7 @@
 
 	It("names what happened around a violation, and counts its like", func() {
 		h := newHistory()
-		h.Note("long ago")
+		h.RecordEvent("long ago")
 		h.pass(aroundBefore)
 		h.leaves(leaveWithin + 1)
 		h.send()
@@ -278,11 +284,11 @@
 				if s != again[i] {
 					t.Fatalf("%v and %v", s, again[i])
 				}
-				if s.At < 0 || s.At+s.For > length-tail || (i > 0 && s.At < l[i-1].At) {
+				if s.At < 0 || s.At+s.Duration > length-tail || (i > 0 && s.At < l[i-1].At) {
 					t.Fatalf("%v after %v", s, l[max(0, i-1)])
 				}
-				if len(allowed) > 0 && !strings.Contains(strings.Join(allowed, " "), s.Do) {
-					t.Fatalf("%s is not allowed", s.Do)
+				if len(allowed) > 0 && !strings.Contains(strings.Join(allowed, " "), s.Action) {
+					t.Fatalf("%s is not allowed", s.Action)
 				}
 			}
 		})
@@ -325,25 +331,25 @@
 
 	It("silences a connection for good without a reset while new ones work", func() {
 		old := dial()
-		l.Silence(false)
+		l.SetSilent(false)
 		Expect(say(old)).To(MatchError(ContainSubstring("timeout")))
 		Expect(say(dial())).To(Succeed())
-		l.Silence(false)
+		l.SetSilent(false)
 		Expect(say(old)).To(MatchError(ContainSubstring("timeout")))
 	})
 
 	It("silences new ones too until it speaks again", func() {
-		l.Silence(true)
+		l.SetSilent(true)
 		Expect(say(dial())).To(HaveOccurred())
-		l.Silence(false)
+		l.SetSilent(false)
 		Expect(say(dial())).To(Succeed())
 	})
 
 	It("keeps answers back, and lets them out when it heals", func() {
 		c := dial()
-		l.Hold(true)
+		l.HoldAnswers(true)
 		Expect(say(c)).To(MatchError(ContainSubstring("timeout")))
-		l.Hold(false)
+		l.HoldAnswers(false)
 		Expect(say(c)).To(Succeed())
 	})
 
@@ -351,7 +357,7 @@
 		c := dial()
 		l.Reset()
 		Expect(say(c)).To(HaveOccurred())
-		l.Delay(100 * time.Millisecond)
+		l.SetDelay(100 * time.Millisecond)
 		c = dial()
 		start := time.Now()
 		Expect(say(c)).To(Succeed())
@@ -365,7 +371,7 @@
 
 var _ = Describe("a door to the store", func() {
 	It("loses answers after the call took effect", func() {
-		d := &Door{KeyedEndpoint: standin.NewKeyedStore().NewEndpoint()}
+		d := &StoreEndpoint{KeyedEndpoint: standin.NewKeyedStore().NewEndpoint()}
 		s := httptest.NewServer(d)
 		DeferCleanup(s.Close)
 		lost := 0
--- a/internal/soak/upstream.go
+++ b/internal/soak/upstream.go
@@ -52,8 +52,8 @@
 	link   *Link
 }
 
-// Come starts a new upstream at the address, with a new id.
-func (s *Slot) Come(ctx context.Context) error {
+// Start starts a new upstream at the address, with a new id.
+func (s *Slot) Start(ctx context.Context) error {
 	l, err := listenLink(s.address)
 	if err != nil {
 		return err
@@ -63,11 +63,11 @@
 	s.starts++
 	s.id = fmt.Sprintf("%s-%d", s.address, s.starts)
 	server := &standin.ModelServer{
-		Instance: s.id, StartMillis: time.Now().UnixMilli(), Slots: slots, EventInterval: s.event, OnRun: s.history.Ran,
-		Weights: standin.ModelOrigin{Model: model, Chunks: chunks, ChunkBytes: chunkBytes},
-		OnViolation:  func(what string) { s.history.Violate("weights", s.address, "", "%s", what) },
+		Instance: s.id, StartMillis: time.Now().UnixMilli(), Slots: slots, EventInterval: s.event, OnRun: s.history.RecordRun,
+		Weights:     standin.ModelOrigin{Model: model, Chunks: chunks, ChunkBytes: chunkBytes},
+		OnViolation: func(what string) { s.history.RecordViolation("weights", s.address, "", "%s", what) },
 	}
-	server.OnRetryAfter = func(request, retryAfter string) { s.history.AskedForRest(request, server.Instance, retryAfter) }
+	server.OnRetryAfter = func(request, retryAfter string) { s.history.RecordRestRequest(request, server.Instance, retryAfter) }
 	s.crashes(ctx, server)
 	s.server, s.link, s.state, s.listed, s.came = server, l, stateReady, true, time.Now()
 	go func() { _ = standin.ServeOn(ctx, l, &recorder{slot: s.address, server: server, history: s.history}) }()
@@ -85,7 +85,7 @@
 // ServeHTTP implements http.Handler.
 func (h *recorder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !strings.HasPrefix(r.URL.Path, "/v1/") {
-		h.history.Arrived(r.Header.Get("Request-Id"), r.Header.Get("Target-Instance"), h.slot)
+		h.history.RecordArrival(r.Header.Get("Request-Id"), r.Header.Get("Target-Instance"), h.slot)
 	}
 	h.server.ServeHTTP(w, r)
 }
@@ -122,7 +122,7 @@
 	}
 	s.listed = false
 	s.store.Put(serverTopic, s.id, nil)
-	s.history.Departed(s.id, "record went")
+	s.history.RecordDeparture(s.id, "record went")
 }
 
 // Leave lets the upstream say that it leaves, or its record just go; it serves on for a while, and a new one comes.
@@ -132,7 +132,7 @@
 		s.state = stateDraining
 		s.server.SetLeaving(true, s.starts%2 == 0)
 		s.write()
-		s.history.Departed(s.id, stateDraining)
+		s.history.RecordDeparture(s.id, stateDraining)
 		s.mu.Unlock()
 	} else {
 		s.drop()
@@ -144,7 +144,7 @@
 
 // Crash ends the upstream at once; its record lapses.
 func (s *Slot) Crash(ctx context.Context, away time.Duration) {
-	defer s.history.Begin(s.address, "crashed")()
+	defer s.history.BeginFault(s.address, "crashed")()
 	s.link.Close()
 	s.mu.Lock()
 	s.listed = false
@@ -153,7 +153,7 @@
 	time.AfterFunc(lapse, func() {
 		if ctx.Err() == nil {
 			s.store.Put(serverTopic, id, nil)
-			s.history.Departed(id, "record lapsed")
+			s.history.RecordDeparture(id, "record lapsed")
 		}
 	})
 	s.renew(ctx, away)
@@ -161,19 +161,19 @@
 
 // renew ends what serves at the address and starts a new upstream after a time.
 func (s *Slot) renew(ctx context.Context, away time.Duration) {
-	defer s.history.Begin(s.address, "renewed")()
+	defer s.history.BeginFault(s.address, "renewed")()
 	s.link.Close()
 	kernel.Pause(ctx, away)
 	if ctx.Err() != nil {
 		return
 	}
-	if err := s.Come(ctx); err != nil {
-		s.history.Note("no upstream comes to %s: %v", s.address, err)
+	if err := s.Start(ctx); err != nil {
+		s.history.RecordEvent("no upstream comes to %s: %v", s.address, err)
 	}
 }
 
-// Serving is the version that the upstream serves; 0 is none.
-func (s *Slot) Serving() int {
+// ServedVersion is the version that the upstream serves; 0 is none.
+func (s *Slot) ServedVersion() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.server.ServedVersion()
