--- a/internal/fleet/operator_test.go
+++ b/internal/fleet/operator_test.go
@@ -71,7 +71,7 @@
 	})
 
 	It("undo a rollout", func() {
-		f := serving(1, func(s *fleet.Size) { s.Domains = 1 })
+		f := serving(1, func(s *fleet.Options) { s.Domains = 1 })
 		e := f.Entries[0]
 		_, _, err := f.Publish("v2", megabyte, chunk)
 		Expect(err).NotTo(HaveOccurred())
@@ -79,11 +79,11 @@
 			"--version-name", "v2", "--source", "gym/desk/v2")
 		Expect(code).To(Equal(cmd.ExitDone), bad)
 		Eventually(live(f, "v2"), "20s", "10ms").Should(Equal(1))
-		drawn := f.Platform.Origin.Drawn()
+		drawn := f.Platform.Origin.BytesSent()
 		code, back, bad := operate(e, fleet.OperatorToken, "-o", "gym", "rollout", "rollback", strings.TrimSpace(rollout))
 		Expect(code).To(Equal(cmd.ExitDone), bad)
 		Eventually(live(f, "v1"), "20s", "10ms").Should(Equal(1))
-		Expect(f.Platform.Origin.Drawn()).To(Equal(drawn), "from what is still held")
+		Expect(f.Platform.Origin.BytesSent()).To(Equal(drawn), "from what is still held")
 		code, text, _ := operate(e, fleet.OperatorToken, "-o", "gym", "--output", "json", "rollout", "status", strings.TrimSpace(back))
 		Expect(code).To(Equal(cmd.ExitDone))
 		Expect(text).To(ContainSubstring(`"rolled_back_from": "` + strings.TrimSpace(rollout)))
