--- a/internal/stager/life_test.go
+++ b/internal/stager/life_test.go
@@ -12,7 +12,7 @@
 
 // startAnew plays an engine that crashes and is back at once, without what lay staged; the caller holds the lock.
 func (e *engine) startAnew() {
-	e.state = State{Life: e.state.Life + 1}
+	e.state = State{Incarnation: e.state.Incarnation + 1}
 	e.staged = map[id.Chunk][]byte{}
 }
 
--- a/internal/stager/load.go
+++ b/internal/stager/load.go
@@ -20,7 +20,7 @@
 		// Whatever lies there now this process has put there itself.
 		return
 	}
-	l, err := s.ports.Upstream.Staged(ctx, g.model)
+	l, err := s.ports.Upstream.StagedChunks(ctx, g.model)
 	if err != nil {
 		s.log.Info().Err(err).Str("version", g.name()).Msg("nothing staged to take over")
 		return
@@ -30,7 +30,7 @@
 		if int(c) >= g.engine.Chunks || h.Chunk(c) != nil {
 			continue
 		}
-		data, err := s.ports.Upstream.Get(ctx, g.model, c)
+		data, err := s.ports.Upstream.ReadChunk(ctx, g.model, c)
 		if err == nil {
 			_, err = h.Add(c, data)
 		}
@@ -57,7 +57,7 @@
 		s.closeAhead(g)
 		fresh := g.holding.Since(g.holding.Epoch(), uint32(put))
 		for _, c := range fresh {
-			if err := s.ports.Upstream.Put(ctx, g.model, id.Chunk(c), g.holding.Chunk(id.Chunk(c))); err != nil {
+			if err := s.ports.Upstream.StageChunk(ctx, g.model, id.Chunk(c), g.holding.Chunk(id.Chunk(c))); err != nil {
 				return trace.Wrap(err)
 			}
 			put++
@@ -131,12 +131,12 @@
 		if err != nil {
 			return 0, trace.Wrap(err)
 		}
-		if after.Life == before.Life {
-			return after.Life, nil
+		if after.Incarnation == before.Incarnation {
+			return after.Incarnation, nil
 		}
-		s.log.Info().Str("version", g.name()).Uint64("life", after.Life).Msg("the upstream may have started anew; verified again")
+		s.log.Info().Str("version", g.name()).Uint64("life", after.Incarnation).Msg("the upstream may have started anew; verified again")
 	}
-	return 0, trace.Wrap(ErrRefused, "the upstream starts anew again and again")
+	return 0, trace.Wrap(ErrOrderRefused, "the upstream starts anew again and again")
 }
 
 // verifyMost bounds how often chunks are verified for one order: an upstream that has not started anew closes a
@@ -149,12 +149,12 @@
 	for n := range g.engine.Chunks {
 		c := id.Chunk(n)
 		want := g.holding.Chunk(c)
-		got, err := s.ports.Upstream.Get(ctx, g.model, c)
+		got, err := s.ports.Upstream.ReadChunk(ctx, g.model, c)
 		if err == nil && bytes.Equal(got, want) {
 			continue
 		}
 		repaired++
-		if err := s.ports.Upstream.Put(ctx, g.model, c, want); err != nil {
+		if err := s.ports.Upstream.StageChunk(ctx, g.model, c, want); err != nil {
 			return trace.Wrap(err)
 		}
 	}
@@ -208,7 +208,7 @@
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	if state.Life != life {
+	if state.Incarnation != life {
 		// What was verified before the drain may be gone.
 		if life, err = s.verified(ctx, g); err != nil {
 			return err
@@ -217,7 +217,7 @@
 			return trace.Wrap(err)
 		}
 	}
-	o := Order{Model: g.model, Revision: g.wanted.Revision, After: state.Orders, Life: life}
+	o := Order{Model: g.model, Revision: g.wanted.Revision, OrdersBefore: state.Orders, Incarnation: life}
 	if err := s.ports.Upstream.Load(ctx, o); err != nil {
 		s.orders.Add("failed", 1)
 		if !s.taken(ctx, state.Orders) {
@@ -261,13 +261,13 @@
 			s.look(ctx)
 			return nil
 		case state.Orders < taken:
-			return trace.Wrap(ErrRefused, "the upstream has started anew")
+			return trace.Wrap(ErrOrderRefused, "the upstream has started anew")
 		case s.now().After(idleUntil):
-			return trace.Wrap(ErrRefused, "the upstream is idle without %s", g.name())
+			return trace.Wrap(ErrOrderRefused, "the upstream is idle without %s", g.name())
 		}
 		kernel.Pause(ctx, servedLook)
 	}
-	return trace.Wrap(ErrRefused, "the upstream does not serve %s", g.name())
+	return trace.Wrap(ErrOrderRefused, "the upstream does not serve %s", g.name())
 }
 
 // idleMost is how long an upstream may carry out nothing before the order is taken for lost.
--- a/internal/stager/load_test.go
+++ b/internal/stager/load_test.go
@@ -44,6 +44,6 @@
 	It("is waited for as long as requests run, and for a time after", func() {
 		const afterRequests = int(loadTimeout / look)
 		Expect(wait(3*afterRequests, afterRequests-2)).To(Succeed())
-		Expect(wait(3*afterRequests, afterRequests+2)).To(MatchError(ErrRefused))
+		Expect(wait(3*afterRequests, afterRequests+2)).To(MatchError(ErrOrderRefused))
 	})
 })
--- a/internal/stager/part.go
+++ b/internal/stager/part.go
@@ -209,7 +209,7 @@
 		s.log.Info().Bool("down", down).Err(err).Msg("the upstream beside this process")
 	}
 	if !down && s.state.Born.Before(state.Born) {
-		s.log.Info().Uint64("born", uint64(state.Born)).Uint64("life", state.Life).Msg("the upstream beside this process has started again")
+		s.log.Info().Uint64("born", uint64(state.Born)).Uint64("life", state.Incarnation).Msg("the upstream beside this process has started again")
 	}
 	if state.Leaving && !s.state.Leaving {
 		s.log.Info().Msg("the upstream beside this process says that it leaves")
--- a/internal/stager/ports.go
+++ b/internal/stager/ports.go
@@ -14,10 +14,10 @@
 )
 
 var (
-	// ErrNoChunk says that a chunk is not staged.
-	ErrNoChunk = errors.New("the chunk is not staged")
-	// ErrRefused says that the upstream did not take an order.
-	ErrRefused = errors.New("the upstream refused the order")
+	// ErrChunkNotStaged says that a chunk is not staged.
+	ErrChunkNotStaged = errors.New("the chunk is not staged")
+	// ErrOrderRefused says that the upstream did not take an order.
+	ErrOrderRefused = errors.New("the upstream refused the order")
 )
 
 // State is what the upstream says of itself at this moment.
@@ -31,9 +31,9 @@
 	Busy bool
 	// Orders counts the orders that the upstream has taken since its start.
 	Orders uint64
-	// Life is the number of the upstream's life: as long as it stays the same, the upstream has not started anew. It may change
+	// Incarnation is the number of the upstream's life: as long as it stays the same, the upstream has not started anew. It may change
 	// without a start.
-	Life uint64
+	Incarnation uint64
 	Held []facts.Held
 	// Limit is what the upstream says here of the requests that it takes.
 	Limit throttle.LimitInfo
@@ -45,19 +45,19 @@
 type Order struct {
 	Model    id.Model
 	Revision id.Revision
-	// After is the number of orders that the upstream must have taken, so that one that was overtaken is refused.
-	After uint64
-	// Life is the life in which the chunks were verified. An upstream that has started anew since then gets no order: what
+	// OrdersBefore is the number of orders that the upstream must have taken, so that one that was overtaken is refused.
+	OrdersBefore uint64
+	// Incarnation is the life in which the chunks were verified. An upstream that has started anew since then gets no order: what
 	// lay staged may be gone, and a first order of either life would go by the same count.
-	Life uint64
+	Incarnation uint64
 }
 
 // Upstream is the way to the upstream beside the stager; function fields so that tests can replace each.
 type Upstream struct {
 	State  func(ctx context.Context) (State, error)
-	Staged func(ctx context.Context, m id.Model) ([]id.Chunk, error)
-	Get    func(ctx context.Context, m id.Model, c id.Chunk) ([]byte, error)
-	Put    func(ctx context.Context, m id.Model, c id.Chunk, data []byte) error
+	StagedChunks func(ctx context.Context, m id.Model) ([]id.Chunk, error)
+	ReadChunk    func(ctx context.Context, m id.Model, c id.Chunk) ([]byte, error)
+	StageChunk    func(ctx context.Context, m id.Model, c id.Chunk, data []byte) error
 	Load   func(ctx context.Context, o Order) error
 }
 
--- a/internal/stager/stager_test.go
+++ b/internal/stager/stager_test.go
@@ -94,7 +94,7 @@
 			}
 			return e.state, nil
 		},
-		Staged: func(context.Context, id.Model) ([]id.Chunk, error) {
+		StagedChunks: func(context.Context, id.Model) ([]id.Chunk, error) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			var l []id.Chunk
@@ -103,7 +103,7 @@
 			}
 			return l, nil
 		},
-		Get: func(_ context.Context, _ id.Model, c id.Chunk) ([]byte, error) {
+		ReadChunk: func(_ context.Context, _ id.Model, c id.Chunk) ([]byte, error) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			if f := e.gotLast; f != nil && c == chunks-1 {
@@ -111,11 +111,11 @@
 				defer f()
 			}
 			if e.staged[c] == nil {
-				return nil, ErrNoChunk
+				return nil, ErrChunkNotStaged
 			}
 			return e.staged[c], nil
 		},
-		Put: func(_ context.Context, _ id.Model, c id.Chunk, data []byte) error {
+		StageChunk: func(_ context.Context, _ id.Model, c id.Chunk, data []byte) error {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			e.staged[c] = bytes.Clone(data)
@@ -161,9 +161,9 @@
 func (e *engine) load(_ context.Context, o Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.refuse > 0 || o.After != e.state.Orders || o.Life != e.state.Life {
+	if e.refuse > 0 || o.OrdersBefore != e.state.Orders || o.Incarnation != e.state.Incarnation {
 		e.refuse--
-		return ErrRefused
+		return ErrOrderRefused
 	}
 	e.orders, e.orderedAt = append(e.orders, o), time.Now()
 	e.state.Orders++
