--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -52,7 +52,7 @@
 	config   *configlog.Part
 	members  *membership.Part
 	rpc      *rpc.Server
-	turns    *Turns
+	turns    *SwapPermits
 }
 
 func newPart(h *kernel.Host) (any, error) {
@@ -63,7 +63,7 @@
 		members:  h.Part(membership.PartName).(*membership.Part),
 		rpc:      h.Part(rpc.PartName).(*rpc.Server),
 	}
-	p.turns = NewTurns(p.settings.SwapShare, p.config.State, p.members.Table.Statuses, time.Now)
+	p.turns = NewSwapPermits(p.settings.SwapShare, p.config.State, p.members.Table.Statuses, time.Now)
 	p.rpc.Handle(springrailv1connect.NewConfigServiceHandler(p))
 	p.config.SetPeers(p.catchUp, p.rank)
 	return p, nil
--- a/internal/spread/turn.go
+++ b/internal/spread/turn.go
@@ -19,9 +19,9 @@
 	turnRecheck = 200 * time.Millisecond
 )
 
-// Turns remembers the turns that this entry has given. One entry of a failure domain is asked for a rollout's turns,
+// SwapPermits remembers the turns that this entry has given. One entry of a failure domain is asked for a rollout's turns,
 // so that two VMs that ask at one time can't both be the first.
-type Turns struct {
+type SwapPermits struct {
 	share    float64
 	state    func() *config.State
 	statuses func() []*pb.VMStatus
@@ -30,13 +30,13 @@
 	given    map[id.Rollout]map[id.VM]time.Time
 }
 
-// NewTurns makes a giver of turns; share is the part of a domain's VMs that may swap at one time.
-func NewTurns(share float64, state func() *config.State, statuses func() []*pb.VMStatus, now func() time.Time) *Turns {
-	return &Turns{share: share, state: state, statuses: statuses, now: now, given: map[id.Rollout]map[id.VM]time.Time{}}
+// NewSwapPermits makes a giver of turns; share is the part of a domain's VMs that may swap at one time.
+func NewSwapPermits(share float64, state func() *config.State, statuses func() []*pb.VMStatus, now func() time.Time) *SwapPermits {
+	return &SwapPermits{share: share, state: state, statuses: statuses, now: now, given: map[id.Rollout]map[id.VM]time.Time{}}
 }
 
-// Ask gives a VM its turn if the wave has room.
-func (t *Turns) Ask(r *pb.Rollout, s *pb.VMStatus) bool {
+// TryGrant gives a VM its turn if the wave has room.
+func (t *SwapPermits) TryGrant(r *pb.Rollout, s *pb.VMStatus) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	name, v := id.Rollout(r.GetId()), id.VM(s.GetVm().GetId())
@@ -54,7 +54,7 @@
 }
 
 // current lists the VMs whose turn still counts, and forgets the others and rollouts that have ended.
-func (t *Turns) current(name id.Rollout) []id.VM {
+func (t *SwapPermits) current(name id.Rollout) []id.VM {
 	for r := range t.given {
 		if t.state().Rollout(r).GetState() != pb.RolloutState_ROLLOUT_STATE_ACTIVE {
 			delete(t.given, r)
@@ -106,7 +106,7 @@
 	for {
 		moved := p.members.Table.Changed()
 		m := p.config.State().Rollout(id.Rollout(r.GetRollout()))
-		if m.GetState() == pb.RolloutState_ROLLOUT_STATE_ACTIVE && p.turns.Ask(m, r.GetStatus()) {
+		if m.GetState() == pb.RolloutState_ROLLOUT_STATE_ACTIVE && p.turns.TryGrant(m, r.GetStatus()) {
 			p.host.Events.Add(kernel.Event{
 				Kind: kernel.EventTurnGiven, Rollout: id.Rollout(r.GetRollout()),
 				Organisation: id.Organisation(m.GetOrganisation()), Detail: r.GetStatus().GetVm().GetId(),
