--- a/internal/fleet/rollout_test.go
+++ b/internal/fleet/rollout_test.go
@@ -34,7 +34,7 @@
 		VMs: vms, Domains: 2, LinkBytesPerSecond: link, OriginLinks: 2, Seed: 1, Swarm: transfer.NewSettings(),
 		Serving: true, Engine: speeds, ListLag: 50 * time.Millisecond,
 	}
-	s.Swarm.Patience = 300 * time.Millisecond
+	s.Swarm.TakeoverDelay = 300 * time.Millisecond
 	if change != nil {
 		change(&s)
 	}
--- a/internal/measure/burst.go
+++ b/internal/measure/burst.go
@@ -163,7 +163,7 @@
 func previousRelease() transfer.Settings {
 	s := *transfer.NewSettings()
 	s.Neighbours, s.Uploads, s.Downloads, s.PerPeer = 8, 4, 6, 2
-	s.HaveEvery, s.BusyRetry = 100*time.Millisecond, 50*time.Millisecond
+	s.HaveInterval, s.BusyRetry = 100*time.Millisecond, 50*time.Millisecond
 	return s
 }
 
--- a/internal/measure/main.go
+++ b/internal/measure/main.go
@@ -116,9 +116,9 @@
 	c.Flag("uploads", "Uploads at one time.").Default(strconv.Itoa(s.Uploads)).IntVar(&s.Uploads)
 	c.Flag("downloads", "Downloads at one time.").Default(strconv.Itoa(s.Downloads)).IntVar(&s.Downloads)
 	c.Flag("per-peer", "Downloads at one time from one neighbour.").Default(strconv.Itoa(s.PerPeer)).IntVar(&s.PerPeer)
-	c.Flag("have-every", "Shortest time between questions to a neighbour.").Default(s.HaveEvery.String()).DurationVar(&s.HaveEvery)
+	c.Flag("have-every", "Shortest time between questions to a neighbour.").Default(s.HaveInterval.String()).DurationVar(&s.HaveInterval)
 	c.Flag("busy-retry", "Wait after a busy neighbour.").Default(s.BusyRetry.String()).DurationVar(&s.BusyRetry)
-	c.Flag("patience", "How long a lane may stand still.").Default(s.Patience.String()).DurationVar(&s.Patience)
+	c.Flag("patience", "How long a lane may stand still.").Default(s.TakeoverDelay.String()).DurationVar(&s.TakeoverDelay)
 	return f.run
 }
 
--- a/internal/stager/load.go
+++ b/internal/stager/load.go
@@ -55,7 +55,7 @@
 	for ctx.Err() == nil && !s.served(g) {
 		changed := g.holding.Changed()
 		s.closeAhead(g)
-		fresh := g.holding.Since(g.holding.Epoch(), uint32(put))
+		fresh := g.holding.AddedSince(g.holding.Epoch(), uint32(put))
 		for _, c := range fresh {
 			if err := s.ports.Upstream.StageChunk(ctx, g.model, id.Chunk(c), g.holding.Chunk(id.Chunk(c))); err != nil {
 				return trace.Wrap(err)
--- a/internal/stager/part.go
+++ b/internal/stager/part.go
@@ -75,8 +75,8 @@
 	reporter *reports.Reporter
 	log      *log.Logger
 	now      func() time.Time
-	env      transfer.Env
-	peers    transfer.Links
+	env      transfer.Dependencies
+	peers    transfer.Transport
 	stats    transfer.Stats
 	orders   *expvar.Map
 	// adopted is true once what lay staged at the start of this process has been looked at.
@@ -98,7 +98,7 @@
 func newPart(h *kernel.Host) *Stager {
 	s := h.Section(PartName).(*Settings)
 	r := h.Part(rpc.PartName).(*rpc.Server)
-	g := New(s, h.Part(PortsPart).(*Ports), h.Part(facts.PartName).(*facts.Facts), transfer.PeerLinks(r),
+	g := New(s, h.Part(PortsPart).(*Ports), h.Part(facts.PartName).(*facts.Facts), transfer.PeerTransport(r),
 		swarm.Member{Domain: h.Identity.Domain}, h.Events, h.Log)
 	g.reporter = h.Part(reports.ReporterPart).(*reports.Reporter)
 	g.reporter.Limiter().OnChange = g.logLimit
@@ -106,7 +106,7 @@
 	if s.UplinkBytesPerSecond > 0 {
 		pace = rate.NewLimiter(rate.Limit(s.UplinkBytesPerSecond), pacedBytes)
 	}
-	u := transfer.NewUploads(g.env.Shelf, g.env.Settings.Uploads, pace, &g.stats)
+	u := transfer.NewUploads(g.env.Holdings, g.env.Settings.Uploads, pace, &g.stats)
 	u.SlowAfter = slowUpload
 	u.Register(r.Handle)
 	r.Handle(springrailv1connect.NewSwarmServiceHandler(u))
@@ -136,15 +136,15 @@
 )
 
 // New makes a stager; self is its place, without a name.
-func New(s *Settings, p *Ports, f *facts.Facts, l transfer.Links, self swarm.Member, e *kernel.EventRing, g *log.Logger) *Stager {
+func New(s *Settings, p *Ports, f *facts.Facts, l transfer.Transport, self swarm.Member, e *kernel.EventRing, g *log.Logger) *Stager {
 	self.VM = id.VM(p.Address)
 	t := transfer.NewSettings()
-	t.Uploads, t.Downloads, t.Patience, t.DrawTimeout = uploads, downloads, patience, drawTimeout
-	t.QueueMost, t.HaveEvery = queueMost, newsEvery
+	t.Uploads, t.Downloads, t.TakeoverDelay, t.SourceTimeout = uploads, downloads, patience, drawTimeout
+	t.MaxQueueDelay, t.HaveInterval = queueMost, newsEvery
 	st := &Stager{down: true, out: swapplan.DefaultSwapDuration, settings: s, ports: p, facts: f, log: g, now: clock.Now, peers: l, orders: new(expvar.Map)}
 	f.WatchAddress(p.Address)
-	st.env = transfer.Env{
-		Settings: t, Self: self, Shelf: transfer.NewShelf(int64(s.MemoryBytes)), Log: g, Events: e, Stats: &st.stats,
+	st.env = transfer.Dependencies{
+		Settings: t, Self: self, Holdings: transfer.NewHoldingStore(int64(s.MemoryBytes)), Log: g, Events: e, Stats: &st.stats,
 	}
 	return st
 }
@@ -268,7 +268,7 @@
 		Named: named, Born: uint64(s.state.Born),
 		Address: s.ports.Address, Running: uint32(s.state.Running), Waiting: uint32(s.state.Waiting),
 		KvUsed: s.state.KVUsed, KvTotal: s.state.KVTotal, Pace: s.state.Pace, Closed: s.closed, Down: s.down, Leaving: s.state.Leaving,
-		Narrow: s.fetching != nil && s.fetching.Narrow(),
+		Narrow: s.fetching != nil && s.fetching.LinkTooSlow(),
 	}
 	for _, h := range s.state.Held {
 		r.Held = append(r.Held, &pb.HeldWeights{Model: string(h.Model), Revision: uint64(h.Revision)})
--- a/internal/stager/stager_test.go
+++ b/internal/stager/stager_test.go
@@ -206,7 +206,7 @@
 	}}, {Name: "o", Origin: "origin"}}, nil, catalog.Limits{}))
 	quiet := &log.Logger{Level: log.PanicLevel}
 	events := kernel.NewEventRing(kernel.NewClock(time.Now), 64)
-	s := New(&Settings{Pool: "p", PeerPort: 1, SwapWithin: within, MemoryBytes: 1 << 20}, e.ports(), f, transfer.Links{
+	s := New(&Settings{Pool: "p", PeerPort: 1, SwapWithin: within, MemoryBytes: 1 << 20}, e.ports(), f, transfer.Transport{
 		FetchChunk:    func(context.Context, string, id.Rollout, id.Chunk, int64) ([]byte, error) { return nil, errAway },
 		FetchManifest: func(context.Context, string, id.Rollout) ([]byte, error) { return nil, errAway },
 		Have:          func(context.Context, string, *pb.HaveRequest) (*pb.HaveResponse, error) { return nil, errAway },
@@ -244,7 +244,7 @@
 		e.staged[2] = []byte("bad")
 		s, _ := start(e, time.Second)
 		Eventually(func() bool {
-			h := s.env.Shelf.Find("m@1")
+			h := s.env.Holdings.Find("m@1")
 			return h != nil && h.Complete()
 		}).WithTimeout(soon).Should(BeTrue())
 		e.do(func() {
@@ -369,7 +369,7 @@
 			reporter: reports.NewReporter(c, "d", f, time.Now, quiet),
 		}
 		s.env.Self = swarm.Member{VM: "127.0.0.1:9", Domain: "d"}
-		shelf := transfer.NewShelf(1 << 20)
+		shelf := transfer.NewHoldingStore(1 << 20)
 		g := &goal{model: "m", pool: "p", wanted: facts.Wanted{Revision: 2, LearntAt: now.Add(-time.Second)}}
 		g.holding, err = shelf.Open(&pb.Rollout{Id: "m@2", Version: &pb.Version{TotalBytes: chunks * chunkBytes, ChunkBytes: chunkBytes}})
 		Expect(err).NotTo(HaveOccurred())
--- a/internal/stager/work.go
+++ b/internal/stager/work.go
@@ -68,7 +68,7 @@
 			continue
 		}
 		if old != nil && old.name() != g.name() {
-			s.env.Shelf.End(id.Rollout(old.name()))
+			s.env.Holdings.MarkEvictable(id.Rollout(old.name()))
 		}
 		old = g
 		if err := s.reach(ctx, g); err != nil && ctx.Err() == nil {
@@ -154,7 +154,7 @@
 		}
 	}
 	held, _ := g.holding.Count()
-	if ctx.Err() != nil || s.served(g) || (!g.staged.Load() && g.download.Reachable() < finishShare) {
+	if ctx.Err() != nil || s.served(g) || (!g.staged.Load() && g.download.ReachableShare() < finishShare) {
 		stop(errSuperseded)
 		return
 	}
@@ -190,22 +190,22 @@
 		Model: string(g.model), Name: fmt.Sprint(g.wanted.Revision),
 		TotalBytes: uint64(e.Chunks) * uint64(e.ChunkBytes), ChunkBytes: uint64(e.ChunkBytes),
 	}}
-	h, err := s.env.Shelf.Open(g.rollout)
+	h, err := s.env.Holdings.Open(g.rollout)
 	if err != nil {
 		return err
 	}
 	g.holding, g.begun = h, s.now()
 	links := s.peers
 	links.Members = func() []transfer.Member { return s.members(g) }
-	links.Draw = func(ctx context.Context, _ *pb.Rollout, _ string, from, length int64) (transfer.Drawn, error) {
+	links.FetchFromSource = func(ctx context.Context, _ *pb.Rollout, _ string, from, length int64) (transfer.SourceData, error) {
 		return s.draw(ctx, g, from, length)
 	}
 	env := s.env
-	env.Local = func(ctx context.Context, h *transfer.Holding) { s.adopt(ctx, g, h) }
+	env.LoadLocalChunks = func(ctx context.Context, h *transfer.Holding) { s.adopt(ctx, g, h) }
 	g.download = transfer.NewDownload(env, g.rollout, h, links)
 	s.mu.Lock()
 	if s.fetching != nil {
-		g.download.TakeLink(s.fetching)
+		g.download.InheritLinkEstimate(s.fetching)
 	}
 	s.fetching = g.download
 	s.mu.Unlock()
@@ -248,17 +248,17 @@
 }
 
 // draw takes a chunk from the origin, or the manifest for a negative length.
-func (s *Stager) draw(ctx context.Context, g *goal, from, length int64) (transfer.Drawn, error) {
+func (s *Stager) draw(ctx context.Context, g *goal, from, length int64) (transfer.SourceData, error) {
 	if length < 0 {
 		m, err := s.manifest(ctx, g)
 		if err != nil {
-			return transfer.Drawn{}, err
+			return transfer.SourceData{}, err
 		}
 		raw, err := manifest.Encode(m)
-		return transfer.Drawn{Data: raw, OriginBytes: int64(len(raw))}, err
+		return transfer.SourceData{Data: raw, OriginBytes: int64(len(raw))}, err
 	}
 	c := id.Chunk(from / int64(g.engine.ChunkBytes))
 	data, err := s.ports.Origin.Chunk(ctx, g.origin, g.model, g.wanted.Revision, c)
 	s.stats.AddOrigin(int64(len(data)))
-	return transfer.Drawn{Data: data, OriginBytes: int64(len(data))}, err
+	return transfer.SourceData{Data: data, OriginBytes: int64(len(data))}, err
 }
--- a/internal/transfer/download.go
+++ b/internal/transfer/download.go
@@ -39,8 +39,8 @@
 	Address string
 }
 
-// Links are a download's ways to others; function fields so that tests can replace each.
-type Links struct {
+// Transport are a download's ways to others; function fields so that tests can replace each.
+type Transport struct {
 	// Members lists the VMs that should hold the version, this one included.
 	Members func() []Member
 	// FetchChunk and FetchManifest take from a neighbour.
@@ -48,12 +48,12 @@
 	FetchManifest func(ctx context.Context, address string, r id.Rollout) ([]byte, error)
 	// Have asks a neighbour for its chunks.
 	Have func(ctx context.Context, address string, q *pb.HaveRequest) (*pb.HaveResponse, error)
-	// Draw takes length bytes, or all for a negative length, from the store or the origin.
-	Draw func(ctx context.Context, r *pb.Rollout, object string, from, length int64) (Drawn, error)
+	// FetchFromSource takes length bytes, or all for a negative length, from the store or the origin.
+	FetchFromSource func(ctx context.Context, r *pb.Rollout, object string, from, length int64) (SourceData, error)
 }
 
-// Drawn is what a draw brought; OriginBytes counts what the origin sent, also where the draw failed.
-type Drawn struct {
+// SourceData is what a draw brought; OriginBytes counts what the origin sent, also where the draw failed.
+type SourceData struct {
 	Data        []byte
 	OriginBytes int64
 }
@@ -72,8 +72,8 @@
 type Download struct {
 	rollout  *pb.Rollout
 	holding  *Holding
-	shelf    *Shelf
-	links    Links
+	shelf    *HoldingStore
+	links    Transport
 	settings *Settings
 	self     swarm.Member
 	log      *log.Logger
@@ -115,25 +115,25 @@
 	drawFailures int
 }
 
-// Env is what the downloads of one VM share. Seed fixes the choices between equals.
-type Env struct {
+// Dependencies is what the downloads of one VM share. Seed fixes the choices between equals.
+type Dependencies struct {
 	Settings *Settings
 	Self     swarm.Member
-	Shelf    *Shelf
+	Holdings    *HoldingStore
 	Log      *log.Logger
 	Events   *kernel.EventRing
 	Stats    *Stats
 	Seed     uint64
-	// Local, where set, fills a holding that has its manifest with chunks that this VM has kept elsewhere.
-	Local func(ctx context.Context, h *Holding)
+	// LoadLocalChunks, where set, fills a holding that has its manifest with chunks that this VM has kept elsewhere.
+	LoadLocalChunks func(ctx context.Context, h *Holding)
 }
 
 // NewDownload makes a download that has not started.
-func NewDownload(e Env, r *pb.Rollout, h *Holding, l Links) *Download {
+func NewDownload(e Dependencies, r *pb.Rollout, h *Holding, l Transport) *Download {
 	chunks := int(config.ChunkCount(r.GetVersion()))
 	return &Download{
-		rollout: r, holding: h, shelf: e.Shelf, links: l, settings: e.Settings, self: e.Self,
-		log: e.Log, events: e.Events, stats: e.Stats, local: e.Local,
+		rollout: r, holding: h, shelf: e.Holdings, links: l, settings: e.Settings, self: e.Self,
+		log: e.Log, events: e.Events, stats: e.Stats, local: e.LoadLocalChunks,
 		random:     rand.New(rand.NewPCG(rendezvous.Weight(r.GetId(), e.Self.VM), e.Seed)),
 		neighbours: map[id.VM]*neighbour{}, dead: map[id.VM]time.Time{}, rarity: make([]int, chunks), seen: make([]time.Time, chunks),
 		have: swarm.NewSet(chunks), inFlight: map[id.Chunk]int{}, wake: make(chan struct{}, 1), renew: make(chan struct{}, 1),
@@ -251,12 +251,12 @@
 
 // reuse takes the chunks that other versions of the organisation share with this one.
 func (d *Download) reuse() {
-	if n := d.shelf.Reuse(d.holding); n > 0 {
+	if n := d.shelf.CopySharedChunks(d.holding); n > 0 {
 		d.log.Info().Int("chunks", n).Str("rollout", d.rollout.GetId()).Msg("chunks shared with a held version")
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, c := range d.holding.Since(d.holding.epoch, 0) {
+	for _, c := range d.holding.AddedSince(d.holding.epoch, 0) {
 		d.have.Add(id.Chunk(c))
 	}
 	for i := range d.laneSeen {
@@ -333,15 +333,15 @@
 	go d.draw(ctx, c)
 }
 
-// Narrow says whether the link to this VM carries so little that even one chunk holds up a live request for too long.
-func (d *Download) Narrow() bool {
+// LinkTooSlow says whether the link to this VM carries so little that even one chunk holds up a live request for too long.
+func (d *Download) LinkTooSlow() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.narrow() && !d.holding.Complete()
 }
 
-// Reachable is the share of the chunks that are held here or by a neighbour, from 0 to 1.
-func (d *Download) Reachable() float64 {
+// ReachableShare is the share of the chunks that are held here or by a neighbour, from 0 to 1.
+func (d *Download) ReachableShare() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.have == nil || len(d.rarity) == 0 {
@@ -356,8 +356,8 @@
 	return float64(reachable) / float64(len(d.rarity))
 }
 
-// TakeLink takes over what another download of this VM has learnt of its link.
-func (d *Download) TakeLink(o *Download) {
+// InheritLinkEstimate takes over what another download of this VM has learnt of its link.
+func (d *Download) InheritLinkEstimate(o *Download) {
 	o.mu.Lock()
 	usual, link, delivered := o.usual, o.link, o.delivered
 	o.mu.Unlock()
@@ -368,17 +368,17 @@
 
 func (d *Download) narrow() bool {
 	perChunk, known := d.link.chunk()
-	return known && d.settings.QueueMost > 0 && perChunk > d.settings.QueueMost
+	return known && d.settings.MaxQueueDelay > 0 && perChunk > d.settings.MaxQueueDelay
 }
 
 // downloads is the number of chunks that may be on their way at one time: fewer than the settings allow where the link
 // has become so narrow that they would queue in front of live requests. The caller holds the lock.
 func (d *Download) downloads() int {
 	perChunk, known := d.link.chunk()
-	if d.settings.QueueMost <= 0 || !known {
+	if d.settings.MaxQueueDelay <= 0 || !known {
 		return d.settings.Downloads
 	}
-	return min(max(1, int(d.settings.QueueMost/max(1, perChunk))), d.settings.Downloads)
+	return min(max(1, int(d.settings.MaxQueueDelay/max(1, perChunk))), d.settings.Downloads)
 }
 
 func (d *Download) view() *swarm.View {
--- a/internal/transfer/download_test.go
+++ b/internal/transfer/download_test.go
@@ -56,9 +56,9 @@
 	return s
 }
 
-func (s *source) draw(_ context.Context, _ *pb.Rollout, object string, from, length int64) (Drawn, error) {
+func (s *source) draw(_ context.Context, _ *pb.Rollout, object string, from, length int64) (SourceData, error) {
 	if object == objectManifest {
-		return Drawn{Data: s.raw}, nil
+		return SourceData{Data: s.raw}, nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,19 +67,19 @@
 	if s.damage(s.drawn / length) {
 		data[0] ^= 0xff
 	}
-	return Drawn{Data: data, OriginBytes: length}, nil
+	return SourceData{Data: data, OriginBytes: length}, nil
 }
 
 // download makes a download on VM "self" of a swarm with others that never answer, unless links change that.
-func download(s *source, others int, change func(l *Links)) *Download {
+func download(s *source, others int, change func(l *Transport)) *Download {
 	settings := NewSettings()
-	settings.Patience = 300 * time.Millisecond
+	settings.TakeoverDelay = 300 * time.Millisecond
 	h := &kernel.Host{Log: &log.Logger{Level: log.ErrorLevel}, Events: kernel.NewEventRing(kernel.NewClock(time.Now), 64)}
-	m := &Manager{host: h, settings: settings, self: swarm.Member{VM: "self", Domain: "d"}, shelf: NewShelf(1 << 30)}
+	m := &Manager{host: h, settings: settings, self: swarm.Member{VM: "self", Domain: "d"}, shelf: NewHoldingStore(1 << 30)}
 	holding, err := m.shelf.Open(s.rollout)
 	Expect(err).NotTo(HaveOccurred())
-	d := NewDownload(m.env(), s.rollout, holding, Links{})
-	d.links = Links{
+	d := NewDownload(m.env(), s.rollout, holding, Transport{})
+	d.links = Transport{
 		Members: func() []Member {
 			l := []Member{{Member: m.self, Address: "self"}}
 			for i := range others {
@@ -90,7 +90,7 @@
 		FetchChunk:    func(context.Context, string, id.Rollout, id.Chunk, int64) ([]byte, error) { return nil, errGone },
 		FetchManifest: func(context.Context, string, id.Rollout) ([]byte, error) { return nil, errGone },
 		Have:          func(context.Context, string, *pb.HaveRequest) (*pb.HaveResponse, error) { return nil, errGone },
-		Draw:          s.draw,
+		FetchFromSource:          s.draw,
 	}
 	if change != nil {
 		change(&d.links)
@@ -109,7 +109,7 @@
 var _ = Describe("a download", func() {
 	It("does not wait for a neighbour that holds chunks and hands none on", func() {
 		s := newSource(8)
-		d := download(s, 1, func(l *Links) {
+		d := download(s, 1, func(l *Transport) {
 			l.Have = func(ctx context.Context, _ string, q *pb.HaveRequest) (*pb.HaveResponse, error) {
 				if q.GetFrom() > 0 {
 					<-ctx.Done()
@@ -129,16 +129,16 @@
 	It("draws on after an outage of the source in which it has tried more often than its budget has chunks", func() {
 		s := newSource(8)
 		failures := 0
-		d := download(s, 0, func(l *Links) {
-			l.Draw = func(ctx context.Context, r *pb.Rollout, object string, from, length int64) (Drawn, error) {
+		d := download(s, 0, func(l *Transport) {
+			l.FetchFromSource = func(ctx context.Context, r *pb.Rollout, object string, from, length int64) (SourceData, error) {
 				if object == objectContent && failures < 30 {
 					failures++
-					return Drawn{}, errGone
+					return SourceData{}, errGone
 				}
 				return s.draw(ctx, r, object, from, length)
 			}
 		})
-		d.settings.Patience = 8 * time.Millisecond
+		d.settings.TakeoverDelay = 8 * time.Millisecond
 		Expect(finish(d, 5*time.Second)).To(BeTrue())
 	})
 
@@ -164,7 +164,7 @@
 	It("throws away corrupt chunks of a neighbour, leaves it alone, and completes from the origin", func() {
 		s := newSource(30)
 		asked := 0
-		d := download(s, 1, func(l *Links) {
+		d := download(s, 1, func(l *Transport) {
 			l.Have = func(ctx context.Context, _ string, q *pb.HaveRequest) (*pb.HaveResponse, error) {
 				if q.GetFrom() > 0 {
 					<-ctx.Done()
@@ -195,26 +195,26 @@
 		h, err := d.shelf.Open(again)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(h.SetManifest(s.raw)).To(Succeed())
-		Expect(d.shelf.Reuse(h)).To(Equal(10))
+		Expect(d.shelf.CopySharedChunks(h)).To(Equal(10))
 		foreign, err := d.shelf.Open(&pb.Rollout{Id: "foreign", Organisation: "hut", Version: s.rollout.GetVersion()})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(foreign.SetManifest(s.raw)).To(Succeed())
-		Expect(d.shelf.Reuse(foreign)).To(BeZero())
+		Expect(d.shelf.CopySharedChunks(foreign)).To(BeZero())
 	})
 })
 
 var _ = Describe("a shelf", func() {
 	It("drops ended holdings for room, oldest first, and says when there is none", func() {
-		s := NewShelf(25)
+		s := NewHoldingStore(25)
 		open := func(name string) error {
 			_, err := s.Open(&pb.Rollout{Id: name, Version: &pb.Version{TotalBytes: 10, ChunkBytes: 10}})
 			return err
 		}
 		Expect(open("a")).To(Succeed())
 		Expect(open("b")).To(Succeed())
-		Expect(open("c")).To(MatchError(ErrMemory))
-		s.End("a")
-		s.End("b")
+		Expect(open("c")).To(MatchError(ErrNoMemory))
+		s.MarkEvictable("a")
+		s.MarkEvictable("b")
 		Expect(open("c")).To(Succeed())
 		Expect(s.Find("a")).To(BeNil())
 		Expect(s.Find("b")).NotTo(BeNil())
@@ -238,7 +238,7 @@
 var _ = Describe("a slow link", func() {
 	It("gets its chunks, however long each takes, as long as bytes come", func() {
 		s := newSource(4)
-		d := download(s, 1, func(l *Links) {
+		d := download(s, 1, func(l *Transport) {
 			l.Have = func(ctx context.Context, _ string, q *pb.HaveRequest) (*pb.HaveResponse, error) {
 				if q.GetFrom() > 0 {
 					<-ctx.Done()
@@ -255,7 +255,7 @@
 					return s.content[int64(c)*size : int64(c+1)*size], nil
 				}
 			}
-			l.Draw = func(context.Context, *pb.Rollout, string, int64, int64) (Drawn, error) { return Drawn{}, errGone }
+			l.FetchFromSource = func(context.Context, *pb.Rollout, string, int64, int64) (SourceData, error) { return SourceData{}, errGone }
 		})
 		Expect(finish(d, 10*time.Second)).To(BeTrue())
 		Expect(d.stats.failed.Load()).To(BeZero())
@@ -266,7 +266,7 @@
 		go func() { _, _ = writer.Write([]byte("abc")) }()
 		started := time.Now()
 		_, err := readSteadily(reader, 10, 50*time.Millisecond)
-		Expect(err).To(MatchError(ErrPeer))
+		Expect(err).To(MatchError(ErrPeerFailed))
 		Expect(time.Since(started)).To(BeNumerically("<", time.Second))
 	})
 })
@@ -276,32 +276,32 @@
 		s := newSource(4)
 		old, next := download(s, 0, nil), download(s, 0, nil)
 		for _, d := range []*Download{old, next} {
-			d.settings.QueueMost = 200 * time.Millisecond
+			d.settings.MaxQueueDelay = 200 * time.Millisecond
 		}
 		for range linkSamples {
 			old.link.note(time.Second, 1)
 		}
 		old.usual, old.delivered = time.Second, 40
-		Expect(old.Narrow()).To(BeTrue())
-		Expect(next.Narrow()).To(BeFalse())
-		next.TakeLink(old)
-		Expect(next.Narrow()).To(BeTrue())
+		Expect(old.LinkTooSlow()).To(BeTrue())
+		Expect(next.LinkTooSlow()).To(BeFalse())
+		next.InheritLinkEstimate(old)
+		Expect(next.LinkTooSlow()).To(BeTrue())
 	})
 
 	It("is not blamed for senders that are slow, and shows a narrow link after a few chunks", func() {
 		d := download(newSource(4), 0, nil)
-		d.settings.QueueMost = 200 * time.Millisecond
+		d.settings.MaxQueueDelay = 200 * time.Millisecond
 		const healthy = 40 * time.Millisecond
 		for range 20 {
 			d.link.note(healthy, 1)
 			d.link.note(12*healthy, 1)
 			d.link.note(9*healthy, 1)
 			d.link.note(12*healthy, 1)
-			Expect(d.Narrow()).To(BeFalse())
+			Expect(d.LinkTooSlow()).To(BeFalse())
 		}
 		for range linkSamples {
 			d.link.note(8*healthy*2, 2)
 		}
-		Expect(d.Narrow()).To(BeTrue())
+		Expect(d.LinkTooSlow()).To(BeTrue())
 	})
 })
--- a/internal/transfer/draw.go
+++ b/internal/transfer/draw.go
@@ -42,7 +42,7 @@
 	for _, n := range d.laneCount {
 		seen = max(seen, n*len(d.laneCount))
 	}
-	p := d.settings.Patience
+	p := d.settings.TakeoverDelay
 	if seen > 0 {
 		usual := time.Since(d.begun) * time.Duration(d.lanes.Count()) / time.Duration(seen)
 		p = min(p, max(leastPatience, usualPatience*usual))
@@ -67,9 +67,9 @@
 func (d *Download) draw(ctx context.Context, c id.Chunk) {
 	size := d.holding.Size(c)
 	from := int64(c) * int64(d.rollout.GetVersion().GetChunkBytes())
-	ask, stop := context.WithTimeout(ctx, d.settings.DrawTimeout)
+	ask, stop := context.WithTimeout(ctx, d.settings.SourceTimeout)
 	defer stop()
-	got, err := d.links.Draw(ask, d.rollout, objectContent, from, size)
+	got, err := d.links.FetchFromSource(ask, d.rollout, objectContent, from, size)
 	d.originBytes.Add(got.OriginBytes)
 	good := err == nil && d.keep(c, got.Data, "the origin")
 	if good {
@@ -108,9 +108,9 @@
 // source without an answer costs nothing and is asked steadily.
 func (d *Download) drawPause(err error) time.Duration {
 	if err != nil {
-		return d.settings.Patience / 8
+		return d.settings.TakeoverDelay / 8
 	}
-	return d.settings.Patience / 16 << min(d.drawFailures, maxDoublings)
+	return d.settings.TakeoverDelay / 16 << min(d.drawFailures, maxDoublings)
 }
 
 // maxDoublings bounds the pause after corrupt draws: 16 times the patience at the most.
--- a/internal/transfer/fetch.go
+++ b/internal/transfer/fetch.go
@@ -52,7 +52,7 @@
 	if d.transfers() < d.settings.Downloads/2 {
 		return 0
 	}
-	return d.settings.HaveEvery
+	return d.settings.HaveInterval
 }
 
 // transfers is the number of chunks on their way; the caller holds the lock.
@@ -197,7 +197,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.delivered < usualKnown {
-		return d.settings.DrawTimeout
+		return d.settings.SourceTimeout
 	}
 	return max(stallFloor, stallFactor*d.usual)
 }
@@ -239,7 +239,7 @@
 		rank = slices.Min(d.ranks)
 	}
 	d.mu.Unlock()
-	due := time.Now().Add(time.Duration(rank) * d.settings.Patience)
+	due := time.Now().Add(time.Duration(rank) * d.settings.TakeoverDelay)
 	for ctx.Err() == nil && d.holding.Manifest() == nil {
 		if rank == 0 || time.Now().After(due) {
 			d.drawManifest(ctx)
@@ -259,9 +259,9 @@
 }
 
 func (d *Download) drawManifest(ctx context.Context) {
-	ctx, stop := context.WithTimeout(ctx, d.settings.DrawTimeout)
+	ctx, stop := context.WithTimeout(ctx, d.settings.SourceTimeout)
 	defer stop()
-	got, err := d.links.Draw(ctx, d.rollout, objectManifest, 0, -1)
+	got, err := d.links.FetchFromSource(ctx, d.rollout, objectManifest, 0, -1)
 	if err == nil {
 		err = d.holding.SetManifest(got.Data)
 	}
@@ -283,7 +283,7 @@
 		addresses = append(addresses, n.address)
 	}
 	d.mu.Unlock()
-	ctx, stop := context.WithTimeout(ctx, d.settings.Patience)
+	ctx, stop := context.WithTimeout(ctx, d.settings.TakeoverDelay)
 	defer stop()
 	answers := make(chan []byte, len(addresses))
 	for _, a := range addresses {
--- a/internal/transfer/holding.go
+++ b/internal/transfer/holding.go
@@ -132,8 +132,8 @@
 	return all > 0 && held == all
 }
 
-// Since returns the chunks that were added after the first from, for a neighbour that knows those of an epoch.
-func (h *Holding) Since(epoch uint64, from uint32) []uint32 {
+// AddedSince returns the chunks that were added after the first from, for a neighbour that knows those of an epoch.
+func (h *Holding) AddedSince(epoch uint64, from uint32) []uint32 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if epoch != h.epoch || int(from) > len(h.order) {
--- a/internal/transfer/links.go
+++ b/internal/transfer/links.go
@@ -21,25 +21,25 @@
 var (
 	// ErrBusy says that a neighbour has no free upload slot.
 	ErrBusy = errors.New("the neighbour is busy")
-	// ErrPeer says that a neighbour did not deliver.
-	ErrPeer = errors.New("the neighbour did not deliver")
+	// ErrPeerFailed says that a neighbour did not deliver.
+	ErrPeerFailed = errors.New("the neighbour did not deliver")
 )
 
 // maxManifest bounds a manifest in bytes.
 const maxManifest = 8 << 20
 
 // links makes a download's ways to others over the process's internal client and the platform.
-func (m *Manager) links(r *pb.Rollout) Links {
-	l := PeerLinks(m.rpc)
+func (m *Manager) links(r *pb.Rollout) Transport {
+	l := PeerTransport(m.rpc)
 	l.Members = func() []Member { return m.members(r) }
-	l.Draw = m.draw
+	l.FetchFromSource = m.draw
 	return l
 }
 
-// PeerLinks makes a download's ways to its neighbours over the process's internal client; Members and Draw are the
+// PeerTransport makes a download's ways to its neighbours over the process's internal client; Members and Draw are the
 // caller's to set.
-func PeerLinks(s *rpc.Server) Links {
-	return Links{
+func PeerTransport(s *rpc.Server) Transport {
+	return Transport{
 		FetchChunk: func(ctx context.Context, address string, name id.Rollout, c id.Chunk, size int64) ([]byte, error) {
 			return get(ctx, s, fmt.Sprintf("%s%s%s/%d", s.URL(address), chunkPath, name, c), size, true)
 		},
@@ -79,7 +79,7 @@
 	}
 	a, err := s.Bulk().Do(r)
 	if err != nil {
-		return nil, trace.Wrap(errors.Join(ErrPeer, err))
+		return nil, trace.Wrap(errors.Join(ErrPeerFailed, err))
 	}
 	defer a.Body.Close()
 	switch a.StatusCode {
@@ -89,7 +89,7 @@
 		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, writeBytes))
 		return nil, trace.Wrap(ErrBusy)
 	default:
-		return nil, trace.Wrap(ErrPeer, "status %d", a.StatusCode)
+		return nil, trace.Wrap(ErrPeerFailed, "status %d", a.StatusCode)
 	}
 	if !exact {
 		data, err := io.ReadAll(io.LimitReader(a.Body, size))
@@ -111,7 +111,7 @@
 		n += k
 		watchdog.Reset(most)
 		if err != nil && n < len(data) {
-			return data[:n], trace.Wrap(errors.Join(ErrPeer, err))
+			return data[:n], trace.Wrap(errors.Join(ErrPeerFailed, err))
 		}
 	}
 	return data, nil
@@ -119,7 +119,7 @@
 
 // draw asks the sources in the order of the rollout's objective: an organisation that saves origin bytes asks the
 // store first.
-func (m *Manager) draw(ctx context.Context, r *pb.Rollout, object string, from, length int64) (Drawn, error) {
+func (m *Manager) draw(ctx context.Context, r *pb.Rollout, object string, from, length int64) (SourceData, error) {
 	order := []platform.Source{platform.SourceOrigin}
 	if m.platform.HasStore() {
 		order = append(order, platform.SourceStore)
@@ -127,7 +127,7 @@
 			order[0], order[1] = order[1], order[0]
 		}
 	}
-	var got Drawn
+	var got SourceData
 	var err error
 	for _, s := range order {
 		var data []byte
--- a/internal/transfer/part.go
+++ b/internal/transfer/part.go
@@ -32,21 +32,21 @@
 	MemoryBytes int `toml:"memory_bytes"`
 	// UplinkBytesPerSecond paces uploads; 0 does not pace.
 	UplinkBytesPerSecond int           `toml:"uplink_bytes_per_second"`
-	Patience             time.Duration `toml:"patience"`
-	HaveEvery            time.Duration `toml:"have_every"`
+	TakeoverDelay             time.Duration `toml:"patience"`
+	HaveInterval            time.Duration `toml:"have_every"`
 	BusyRetry            time.Duration `toml:"busy_retry"`
-	DrawTimeout          time.Duration `toml:"draw_timeout"`
-	// QueueMost is the longest time that chunks on their way to this VM may hold up a live request on the same link; 0
+	SourceTimeout          time.Duration `toml:"draw_timeout"`
+	// MaxQueueDelay is the longest time that chunks on their way to this VM may hold up a live request on the same link; 0
 	// sets no bound.
-	QueueMost time.Duration `toml:"queue_most"`
+	MaxQueueDelay time.Duration `toml:"queue_most"`
 }
 
 // NewSettings returns the defaults.
 func NewSettings() *Settings {
 	return &Settings{
 		Neighbours: 5, Uploads: 4, Downloads: 6, PerPeer: 2, MemoryBytes: 64 << 30,
-		Patience: time.Second, HaveEvery: 250 * time.Millisecond, BusyRetry: 50 * time.Millisecond,
-		DrawTimeout: time.Minute,
+		TakeoverDelay: time.Second, HaveInterval: 250 * time.Millisecond, BusyRetry: 50 * time.Millisecond,
+		SourceTimeout: time.Minute,
 	}
 }
 
@@ -60,11 +60,11 @@
 	c.Require(small(s.PerPeer), "per_peer", want)
 	c.Require(s.MemoryBytes > 0, "memory_bytes", "a whole number of bytes above 0")
 	c.Require(s.UplinkBytesPerSecond >= 0, "uplink_bytes_per_second", "a whole number of bytes, or 0 for no pacing")
-	c.Require(s.Patience >= 10*time.Millisecond, "patience", "a time of at least 10ms")
-	c.Require(s.HaveEvery > 0, "have_every", "a time above 0")
+	c.Require(s.TakeoverDelay >= 10*time.Millisecond, "patience", "a time of at least 10ms")
+	c.Require(s.HaveInterval > 0, "have_every", "a time above 0")
 	c.Require(s.BusyRetry > 0, "busy_retry", "a time above 0")
-	c.Require(s.QueueMost >= 0, "queue_most", "a time, or 0 for no bound")
-	c.Require(s.DrawTimeout > 0, "draw_timeout", "a time above 0")
+	c.Require(s.MaxQueueDelay >= 0, "queue_most", "a time, or 0 for no bound")
+	c.Require(s.SourceTimeout > 0, "draw_timeout", "a time above 0")
 }
 
 func init() {
@@ -89,7 +89,7 @@
 	follower *follow.Follower
 	self     swarm.Member
 	seed     uint64
-	shelf    *Shelf
+	shelf    *HoldingStore
 	stats    Stats
 
 	mu        sync.Mutex
@@ -108,7 +108,7 @@
 	m := &Manager{
 		host: h, settings: s, rpc: r, platform: p, follower: f, seed: seed,
 		self:  swarm.Member{VM: h.Identity.VM, Domain: h.Identity.Domain},
-		shelf: NewShelf(int64(s.MemoryBytes)), downloads: map[id.Rollout]*running{}, change: make(chan struct{}),
+		shelf: NewHoldingStore(int64(s.MemoryBytes)), downloads: map[id.Rollout]*running{}, change: make(chan struct{}),
 	}
 	pace := rate.NewLimiter(rate.Inf, writeBytes)
 	if s.UplinkBytesPerSecond > 0 {
@@ -122,9 +122,9 @@
 	return m
 }
 
-func (m *Manager) env() Env {
-	return Env{
-		Settings: m.settings, Self: m.self, Shelf: m.shelf, Log: m.host.Log, Events: m.host.Events,
+func (m *Manager) env() Dependencies {
+	return Dependencies{
+		Settings: m.settings, Self: m.self, Holdings: m.shelf, Log: m.host.Log, Events: m.host.Events,
 		Stats: &m.stats, Seed: m.seed,
 	}
 }
@@ -142,7 +142,7 @@
 // Replica is where a VM stands with fetching a version.
 type Replica struct {
 	Rollout     *pb.Rollout
-	Held, All   int
+	Held, Total   int
 	Complete    bool
 	OriginBytes int64
 	Reason      string
@@ -152,7 +152,7 @@
 func (m *Manager) Replicas() []Replica {
 	var l []Replica
 	for _, r := range m.wanted() {
-		p := Replica{Rollout: r, All: int(config.ChunkCount(r.GetVersion())), Reason: "no room in memory"}
+		p := Replica{Rollout: r, Total: int(config.ChunkCount(r.GetVersion())), Reason: "no room in memory"}
 		m.mu.Lock()
 		d := m.downloads[id.Rollout(r.GetId())]
 		m.mu.Unlock()
@@ -224,10 +224,10 @@
 	d.event(kernel.EventRolloutDropped, "")
 	r := m.follower.State().Rollout(name)
 	if r.GetState() == pb.RolloutState_ROLLOUT_STATE_SUPERSEDED {
-		m.shelf.End(name)
+		m.shelf.MarkEvictable(name)
 		return
 	}
-	m.shelf.Drop(name)
+	m.shelf.Remove(name)
 }
 
 func (m *Manager) start(ctx context.Context, r *pb.Rollout) {
--- a/internal/transfer/serve.go
+++ b/internal/transfer/serve.go
@@ -28,7 +28,7 @@
 
 // Uploads serves chunks to neighbours: a bounded number at a time, paced, and "busy" at once beyond that.
 type Uploads struct {
-	shelf *Shelf
+	shelf *HoldingStore
 	slots chan struct{}
 	pace  *rate.Limiter
 	stats *Stats
@@ -39,7 +39,7 @@
 }
 
 // NewUploads serves from a shelf with a number of slots; pace is in bytes a second.
-func NewUploads(s *Shelf, slots int, pace *rate.Limiter, t *Stats) *Uploads {
+func NewUploads(s *HoldingStore, slots int, pace *rate.Limiter, t *Stats) *Uploads {
 	return &Uploads{shelf: s, slots: make(chan struct{}, slots), pace: pace, stats: t}
 }
 
@@ -135,7 +135,7 @@
 	defer stop()
 	for {
 		changed := h.Changed()
-		fresh := h.Since(r.GetEpoch(), r.GetFrom())
+		fresh := h.AddedSince(r.GetEpoch(), r.GetFrom())
 		if len(fresh) > 0 || ctx.Err() != nil {
 			from := r.GetFrom()
 			if r.GetEpoch() != h.epoch {
--- a/internal/transfer/shelf.go
+++ b/internal/transfer/shelf.go
@@ -10,11 +10,11 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// ErrMemory says that the cap on memory for chunks leaves no room for a version.
-var ErrMemory = errors.New("no memory left for chunks")
+// ErrNoMemory says that the cap on memory for chunks leaves no room for a version.
+var ErrNoMemory = errors.New("no memory left for chunks")
 
-// Shelf keeps the holdings of a VM under one cap on memory.
-type Shelf struct {
+// HoldingStore keeps the holdings of a VM under one cap on memory.
+type HoldingStore struct {
 	capacity int64
 	mu       sync.Mutex
 	holdings map[id.Rollout]*Holding
@@ -23,14 +23,14 @@
 	ended []id.Rollout
 }
 
-// NewShelf makes an empty shelf of a capacity in bytes.
-func NewShelf(capacity int64) *Shelf {
-	return &Shelf{capacity: capacity, holdings: map[id.Rollout]*Holding{}, reserved: map[id.Rollout]int64{}}
+// NewHoldingStore makes an empty shelf of a capacity in bytes.
+func NewHoldingStore(capacity int64) *HoldingStore {
+	return &HoldingStore{capacity: capacity, holdings: map[id.Rollout]*Holding{}, reserved: map[id.Rollout]int64{}}
 }
 
 // Open returns the holding of a rollout, making it where there is room. Ended holdings are dropped for room, oldest
 // first.
-func (s *Shelf) Open(r *pb.Rollout) (*Holding, error) {
+func (s *HoldingStore) Open(r *pb.Rollout) (*Holding, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	name := id.Rollout(r.GetId())
@@ -42,7 +42,7 @@
 		s.drop(s.ended[0])
 	}
 	if s.used()+need > s.capacity {
-		return nil, trace.Wrap(ErrMemory, "%d bytes wanted, %d of %d used", need, s.used(), s.capacity)
+		return nil, trace.Wrap(ErrNoMemory, "%d bytes wanted, %d of %d used", need, s.used(), s.capacity)
 	}
 	h := NewHolding(r, epochNow())
 	s.holdings[name] = h
@@ -51,7 +51,7 @@
 }
 
 // used is the memory reserved, in bytes. Chunks that holdings share are counted in each.
-func (s *Shelf) used() int64 {
+func (s *HoldingStore) used() int64 {
 	var n int64
 	for _, b := range s.reserved {
 		n += b
@@ -60,14 +60,14 @@
 }
 
 // Used is the memory reserved for chunks, in bytes.
-func (s *Shelf) Used() int64 {
+func (s *HoldingStore) Used() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.used()
 }
 
-// End keeps a holding only as long as nothing needs its room.
-func (s *Shelf) End(r id.Rollout) {
+// MarkEvictable keeps a holding only as long as nothing needs its room.
+func (s *HoldingStore) MarkEvictable(r id.Rollout) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.ended {
@@ -80,14 +80,14 @@
 	}
 }
 
-// Drop frees a holding.
-func (s *Shelf) Drop(r id.Rollout) {
+// Remove frees a holding.
+func (s *HoldingStore) Remove(r id.Rollout) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.drop(r)
 }
 
-func (s *Shelf) drop(r id.Rollout) {
+func (s *HoldingStore) drop(r id.Rollout) {
 	delete(s.holdings, r)
 	delete(s.reserved, r)
 	for i, e := range s.ended {
@@ -99,15 +99,15 @@
 }
 
 // Find returns the holding of a rollout or nil.
-func (s *Shelf) Find(r id.Rollout) *Holding {
+func (s *HoldingStore) Find(r id.Rollout) *Holding {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.holdings[r]
 }
 
-// Reuse fills a holding that has its manifest with the chunks of the same organisation's other holdings, and returns
+// CopySharedChunks fills a holding that has its manifest with the chunks of the same organisation's other holdings, and returns
 // how many it found.
-func (s *Shelf) Reuse(h *Holding) int {
+func (s *HoldingStore) CopySharedChunks(h *Holding) int {
 	s.mu.Lock()
 	known := map[string][]byte{}
 	for _, other := range s.holdings {
--- a/internal/upstream/activator.go
+++ b/internal/upstream/activator.go
@@ -242,7 +242,7 @@
 	r := p.Rollout
 	m := &pb.ReplicaProgress{
 		Rollout: r.GetId(), Organisation: r.GetOrganisation(), State: pb.ReplicaState_REPLICA_STATE_FETCHING,
-		ChunksHeld: uint32(p.Held), ChunksTotal: uint32(p.All), OriginBytes: uint64(p.OriginBytes), Reason: p.Reason,
+		ChunksHeld: uint32(p.Held), ChunksTotal: uint32(p.Total), OriginBytes: uint64(p.OriginBytes), Reason: p.Reason,
 	}
 	if p.Complete {
 		m.State, m.Reason = pb.ReplicaState_REPLICA_STATE_COMPLETE, "waits for its turn to swap"
