--- a/internal/swarm/import_test.go
+++ b/internal/swarm/import_test.go
@@ -23,11 +23,11 @@
 			chunk := id.Chunk(rapid.IntRange(0, 500).Draw(t, "chunk"))
 			first := 0
 			for i := 0; i < len(l); i += 2 {
-				m := NewImporters("k", l[i], l)
-				if m.May(chunk, 0) {
+				m := NewImportSchedule("k", l[i], l)
+				if m.Allowed(chunk, 0) {
 					first++
 				}
-				if !m.May(chunk, ImportStep*12) {
+				if !m.Allowed(chunk, ImportRankDelay*12) {
 					t.Fatalf("VM %s may never bring chunk %d", l[i].VM, chunk)
 				}
 			}
@@ -38,7 +38,7 @@
 	})
 
 	It("is not asked of a far neighbour while a near one holds the chunk, or before the VM's turn", func() {
-		far, near := &Peer{VM: "far", Far: true, Has: NewSet(2)}, &Peer{VM: "near", Has: NewSet(2)}
+		far, near := &Peer{VM: "far", Remote: true, Has: NewSet(2)}, &Peer{VM: "near", Has: NewSet(2)}
 		far.Has.Add(0)
 		far.Has.Add(1)
 		near.Has.Add(1)
@@ -60,40 +60,40 @@
 		known := time.Second
 		v := &View{
 			Chunks: 2, Have: NewSet(2), InFlight: map[id.Chunk]int{0: 1}, Rarity: []int{1, 0},
-			Known: func(id.Chunk) time.Duration { return known },
+			KnownFor: func(id.Chunk) time.Duration { return known },
 		}
 		l := NewLanes("k", []Member{{VM: "a", Domain: "d"}})
-		_, ok := PickStuck(v, l, 0, 1)
+		_, ok := PickStalledChunk(v, l, 0, 1)
 		Expect(ok).To(BeFalse())
 		known = stuckStep
-		c, ok := PickStuck(v, l, 0, 1)
+		c, ok := PickStalledChunk(v, l, 0, 1)
 		Expect(ok).To(BeTrue())
 		Expect(c).To(Equal(id.Chunk(0)))
-		_, ok = PickStuck(v, l, 0, 2)
+		_, ok = PickStalledChunk(v, l, 0, 2)
 		Expect(ok).To(BeFalse(), "each further rank waits once more")
-		_, ok = PickStuck(v, l, 0, 0)
+		_, ok = PickStalledChunk(v, l, 0, 0)
 		Expect(ok).To(BeTrue(), "the first rank may have started anew and lost what it drew")
-		_, ok = PickStuck(v, l, 0, -1)
+		_, ok = PickStalledChunk(v, l, 0, -1)
 		Expect(ok).To(BeFalse(), "a VM that is no member draws nothing")
 		known = stuckStepIdle
-		_, ok = PickStuck(v, l, 0, 1)
+		_, ok = PickStalledChunk(v, l, 0, 1)
 		Expect(ok).To(BeFalse(), "the source is still needed for chunk 1")
 		v.Rarity[1] = 1
-		_, ok = PickStuck(v, l, 0, 1)
+		_, ok = PickStalledChunk(v, l, 0, 1)
 		Expect(ok).To(BeTrue())
 		v.Rarity[1] = 0
 		known = 10 * stuckStep
 		v.Have.Add(0)
-		_, ok = PickStuck(v, l, 0, 2)
+		_, ok = PickStalledChunk(v, l, 0, 2)
 		Expect(ok).To(BeFalse(), "what nobody holds is drawn by rank and patience")
 	})
 
 	It("is drawn from a lane's end by a VM that helps out", func() {
 		v := &View{Chunks: 9, Have: NewSet(9), InFlight: map[id.Chunk]int{}, Rarity: make([]int, 9)}
 		l := NewLanes("k", []Member{{VM: "a", Domain: "d"}})
-		c, _ := PickDraw(v, l, 0, 0)
+		c, _ := PickOriginChunk(v, l, 0, 0)
 		Expect(c).To(Equal(id.Chunk(0)))
-		c, _ = PickDraw(v, l, 0, 1)
+		c, _ = PickOriginChunk(v, l, 0, 1)
 		Expect(c).To(Equal(id.Chunk(8)))
 	})
 })
--- a/internal/swarm/lane.go
+++ b/internal/swarm/lane.go
@@ -121,8 +121,8 @@
 	return 2*counts[lane]+lagSlack < slices.Max(counts)
 }
 
-// Copies is the most that all VMs together may draw from the origin, in copies.
-func Copies(r *pb.Rollout) float64 {
+// OriginCopyBudget is the most that all VMs together may draw from the origin, in copies.
+func OriginCopyBudget(r *pb.Rollout) float64 {
 	switch {
 	case r.GetOriginCopies() > 0:
 		return r.GetOriginCopies()
@@ -133,10 +133,10 @@
 	}
 }
 
-// MayDraw says whether a VM of a rank may draw from a lane whose last new chunk was seen at a time. Rank 0 may at
+// MayFetchFromOrigin says whether a VM of a rank may draw from a lane whose last new chunk was seen at a time. Rank 0 may at
 // once; each further rank waits for the patience once more. Ranks beyond the budget never may, so that with one list
 // of members the origin gives each chunk at most as many times as the budget has copies.
-func MayDraw(rank int, copies float64, lastNew time.Time, patience time.Duration, now time.Time) bool {
+func MayFetchFromOrigin(rank int, copies float64, lastNew time.Time, patience time.Duration, now time.Time) bool {
 	if rank < 0 || rank >= max(1, int(copies)) {
 		return false
 	}
--- a/internal/swarm/pick.go
+++ b/internal/swarm/pick.go
@@ -10,14 +10,14 @@
 // Peer is what a VM knows of one neighbour.
 type Peer struct {
 	VM id.VM
-	// Far is true in another failure domain.
-	Far bool
+	// Remote is true in another failure domain.
+	Remote bool
 	// Has holds the chunks that the neighbour has said it holds.
 	Has *Set
 	// InFlight is the number of transfers from it.
 	InFlight int
-	// NotBefore is when it may be asked again after it was busy, failed or served a corrupt chunk.
-	NotBefore time.Time
+	// RetryAt is when it may be asked again after it was busy, failed or served a corrupt chunk.
+	RetryAt time.Time
 	// Failures counts failures that have not yet faded.
 	Failures int
 }
@@ -28,8 +28,8 @@
 	PerPeer int
 	// Total is the number of transfers at one time from all neighbours.
 	Total int
-	// EndGame is the number of missing chunks below which one may be asked of a second neighbour.
-	EndGame int
+	// EndgameChunks is the number of missing chunks below which one may be asked of a second neighbour.
+	EndgameChunks int
 }
 
 // View is what a VM knows of one version when it decides.
@@ -44,8 +44,8 @@
 	Rarity []int
 	// MayImport says whether a chunk may be taken from another failure domain now; nil allows all.
 	MayImport func(c id.Chunk) bool
-	// Known is how long a neighbour has been known to hold a chunk that this VM lacks; nil knows of none.
-	Known  func(c id.Chunk) time.Duration
+	// KnownFor is how long a neighbour has been known to hold a chunk that this VM lacks; nil knows of none.
+	KnownFor  func(c id.Chunk) time.Duration
 	Limits Limits
 }
 
@@ -59,7 +59,7 @@
 	if c, ok := rarest(v, free, r, 0); ok {
 		return c, leastBusy(v, free, c, r)
 	}
-	if v.Chunks-v.Have.Len() > v.Limits.EndGame {
+	if v.Chunks-v.Have.Len() > v.Limits.EndgameChunks {
 		return 0, nil
 	}
 	if c, ok := rarest(v, free, r, 1); ok {
@@ -73,7 +73,7 @@
 	var free []*Peer
 	for _, p := range v.Peers {
 		total += p.InFlight
-		if p.InFlight < v.Limits.PerPeer && !v.Now.Before(p.NotBefore) {
+		if p.InFlight < v.Limits.PerPeer && !v.Now.Before(p.RetryAt) {
 			free = append(free, p)
 		}
 	}
@@ -111,13 +111,13 @@
 	if !p.Has.Has(c) {
 		return false
 	}
-	return !p.Far || v.MayImport == nil || (v.MayImport(c) && !v.near(c))
+	return !p.Remote || v.MayImport == nil || (v.MayImport(c) && !v.near(c))
 }
 
 // near says whether a neighbour of the own failure domain holds a chunk.
 func (v *View) near(c id.Chunk) bool {
 	for _, p := range v.Peers {
-		if !p.Far && p.Has.Has(c) {
+		if !p.Remote && p.Has.Has(c) {
 			return true
 		}
 	}
@@ -153,10 +153,10 @@
 	return best
 }
 
-// PickDraw chooses the lane's next chunk that no neighbour holds. The lane's first VM draws in order, so that the
+// PickOriginChunk chooses the lane's next chunk that no neighbour holds. The lane's first VM draws in order, so that the
 // origin's link carries few chunks at a time and the first ones are soon in the swarm. A VM that helps out draws from the
 // end: the first one may be slow rather than dead, and what it draws next is not drawn twice.
-func PickDraw(v *View, l Lanes, lane, rank int) (id.Chunk, bool) {
+func PickOriginChunk(v *View, l Lanes, lane, rank int) (id.Chunk, bool) {
 	var next id.Chunk
 	ok := false
 	v.Have.Missing(v.Chunks, func(c id.Chunk) bool {
@@ -176,13 +176,13 @@
 	stuckStepIdle = 500 * time.Millisecond
 )
 
-// PickStuck chooses a chunk of the lane that neighbours have held for long without this VM getting it: its drawer's link
+// PickStalledChunk chooses a chunk of the lane that neighbours have held for long without this VM getting it: its drawer's link
 // may carry little, while the source's is free. The lane's first VM has what it drew, unless it has started anew since; then
 // it waits no longer than the second.
-func PickStuck(v *View, l Lanes, lane, rank int) (id.Chunk, bool) {
+func PickStalledChunk(v *View, l Lanes, lane, rank int) (id.Chunk, bool) {
 	var next id.Chunk
 	ok := false
-	if rank < 0 || v.Known == nil {
+	if rank < 0 || v.KnownFor == nil {
 		return next, ok
 	}
 	step := stuckStepIdle
@@ -190,7 +190,7 @@
 		step = stuckStep
 	}
 	v.Have.Missing(v.Chunks, func(c id.Chunk) bool {
-		ok = l.Lane(c) == lane && v.Rarity[c] > 0 && v.Known(c) >= time.Duration(max(1, rank))*step
+		ok = l.Lane(c) == lane && v.Rarity[c] > 0 && v.KnownFor(c) >= time.Duration(max(1, rank))*step
 		next = c
 		return !ok
 	})
@@ -227,19 +227,19 @@
 	Corrupt
 )
 
-// Settle updates a neighbour after a transfer. A delivered chunk halves its blame.
-func (p *Peer) Settle(o Outcome, now time.Time, busyRetry time.Duration) {
+// RecordOutcome updates a neighbour after a transfer. A delivered chunk halves its blame.
+func (p *Peer) RecordOutcome(o Outcome, now time.Time, busyRetry time.Duration) {
 	switch o {
 	case Delivered:
 		p.Failures /= 2
 	case Busy:
-		p.NotBefore = now.Add(busyRetry)
+		p.RetryAt = now.Add(busyRetry)
 	case Failed:
 		p.Failures++
-		p.NotBefore = now.Add(blame(p.Failures))
+		p.RetryAt = now.Add(blame(p.Failures))
 	case Corrupt:
 		p.Failures += corruptFailures
-		p.NotBefore = now.Add(blame(p.Failures))
+		p.RetryAt = now.Add(blame(p.Failures))
 	}
 }
 
--- a/internal/swarm/swarm_test.go
+++ b/internal/swarm/swarm_test.go
@@ -62,7 +62,7 @@
 			for lane := range l.Count() {
 				n := 0
 				for _, m := range members {
-					if MayDraw(l.Ranks(m.VM)[lane], copies, time.Time{}, time.Second, time.Time{}.Add(waited)) {
+					if MayFetchFromOrigin(l.Ranks(m.VM)[lane], copies, time.Time{}, time.Second, time.Time{}.Add(waited)) {
 						n++
 					}
 				}
@@ -194,7 +194,7 @@
 		return
 	}
 	for lane, rank := range lanes.Ranks(m.VM) {
-		if c, ok := PickDraw(v, lanes, lane, rank); ok && MayDraw(rank, copies, time.Time{}, time.Second, v.Now) {
+		if c, ok := PickOriginChunk(v, lanes, lane, rank); ok && MayFetchFromOrigin(rank, copies, time.Time{}, time.Second, v.Now) {
 			w.drawn[c]++
 			v.Have.Add(c)
 			return
@@ -206,16 +206,16 @@
 	It("keeps away from a neighbour that served a corrupt chunk for longer than from one that failed, and fades", func() {
 		now := time.Time{}.Add(time.Hour)
 		failed, corrupt := &Peer{}, &Peer{}
-		failed.Settle(Failed, now, time.Second)
-		corrupt.Settle(Corrupt, now, time.Second)
-		Expect(corrupt.NotBefore).To(BeTemporally(">", failed.NotBefore))
+		failed.RecordOutcome(Failed, now, time.Second)
+		corrupt.RecordOutcome(Corrupt, now, time.Second)
+		Expect(corrupt.RetryAt).To(BeTemporally(">", failed.RetryAt))
 		for range 4 {
-			corrupt.Settle(Delivered, now, time.Second)
+			corrupt.RecordOutcome(Delivered, now, time.Second)
 		}
 		Expect(corrupt.Failures).To(BeZero())
 		busy := &Peer{}
-		busy.Settle(Busy, now, 50*time.Millisecond)
-		Expect(busy.NotBefore).To(Equal(now.Add(50 * time.Millisecond)))
+		busy.RecordOutcome(Busy, now, 50*time.Millisecond)
+		Expect(busy.RetryAt).To(Equal(now.Add(50 * time.Millisecond)))
 	})
 })
 
--- a/internal/transfer/download.go
+++ b/internal/transfer/download.go
@@ -89,7 +89,7 @@
 	rarity     []int
 	inFlight   map[id.Chunk]int
 	lanes      swarm.Lanes
-	importers  swarm.Importers
+	importers  swarm.ImportSchedule
 	// seen is when a neighbour was first known to hold a chunk.
 	seen  []time.Time
 	ranks []int
@@ -206,7 +206,7 @@
 	}
 	d.lanes = swarm.NewLanes(d.rollout.GetId(), all)
 	d.ranks = d.lanes.Ranks(d.self.VM)
-	d.importers = swarm.NewImporters(d.rollout.GetId(), d.self, live)
+	d.importers = swarm.NewImportSchedule(d.rollout.GetId(), d.self, live)
 	for len(d.laneSeen) < d.lanes.Count() {
 		d.laneSeen = append(d.laneSeen, time.Now())
 		d.laneBytes = append(d.laneBytes, 0)
@@ -232,7 +232,7 @@
 
 func (d *Download) meet(ctx context.Context, v id.VM, address string, far bool) {
 	n := &neighbour{address: address}
-	n.VM, n.Far = v, far
+	n.VM, n.Remote = v, far
 	n.Has = swarm.NewSet(len(d.rarity))
 	ctx, n.stop = context.WithCancel(ctx)
 	d.neighbours[v] = n
@@ -304,7 +304,7 @@
 	d.scheduleStuck(ctx, v)
 	for lane := range d.ranks {
 		for d.mayDraw(lane, v.Now) {
-			c, ok := swarm.PickDraw(v, d.lanes, lane, d.ranks[lane])
+			c, ok := swarm.PickOriginChunk(v, d.lanes, lane, d.ranks[lane])
 			if !ok {
 				break
 			}
@@ -316,10 +316,10 @@
 // scheduleStuck draws what neighbours hold and do not hand on. The caller holds the lock.
 func (d *Download) scheduleStuck(ctx context.Context, v *swarm.View) {
 	for lane, rank := range d.ranks {
-		if rank >= int(swarm.Copies(d.rollout)) || !d.canDraw(lane, v.Now) {
+		if rank >= int(swarm.OriginCopyBudget(d.rollout)) || !d.canDraw(lane, v.Now) {
 			continue
 		}
-		if c, ok := swarm.PickStuck(v, d.lanes, lane, rank); ok {
+		if c, ok := swarm.PickStalledChunk(v, d.lanes, lane, rank); ok {
 			d.startDraw(ctx, lane, c)
 		}
 	}
@@ -384,11 +384,11 @@
 func (d *Download) view() *swarm.View {
 	now := time.Now()
 	v := &swarm.View{
-		MayImport: func(c id.Chunk) bool { return d.importers.May(c, now.Sub(d.seen[c])) },
-		Known:     func(c id.Chunk) time.Duration { return now.Sub(d.seen[c]) },
+		MayImport: func(c id.Chunk) bool { return d.importers.Allowed(c, now.Sub(d.seen[c])) },
+		KnownFor:     func(c id.Chunk) time.Duration { return now.Sub(d.seen[c]) },
 		Now:       now, Chunks: len(d.rarity), Have: d.have, InFlight: d.inFlight, Rarity: d.rarity,
 		Limits: swarm.Limits{
-			PerPeer: d.settings.PerPeer, Total: d.downloads(), EndGame: d.settings.Downloads / 2,
+			PerPeer: d.settings.PerPeer, Total: d.downloads(), EndgameChunks: d.settings.Downloads / 2,
 		},
 	}
 	for _, name := range slices.Sorted(maps.Keys(d.neighbours)) {
--- a/internal/transfer/draw.go
+++ b/internal/transfer/draw.go
@@ -16,9 +16,9 @@
 	rank := d.ranks[lane]
 	if d.narrow() {
 		// Others would get what this VM draws late: it draws only where nobody else does.
-		rank = max(rank, int(swarm.Copies(d.rollout))-1)
+		rank = max(rank, int(swarm.OriginCopyBudget(d.rollout))-1)
 	}
-	return d.canDraw(lane, now) && swarm.MayDraw(rank, swarm.Copies(d.rollout), d.laneSeen[lane], d.patience(), now)
+	return d.canDraw(lane, now) && swarm.MayFetchFromOrigin(rank, swarm.OriginCopyBudget(d.rollout), d.laneSeen[lane], d.patience(), now)
 }
 
 // canDraw says whether a draw and the lane's budget are free. The caller holds the lock.
--- a/internal/transfer/fetch.go
+++ b/internal/transfer/fetch.go
@@ -163,7 +163,7 @@
 	n.InFlight--
 	d.release(c)
 	if ctx.Err() == nil {
-		n.Settle(o, time.Now(), d.settings.BusyRetry)
+		n.RecordOutcome(o, time.Now(), d.settings.BusyRetry)
 	}
 	switch o {
 	case swarm.Delivered:
