--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -16,10 +16,10 @@
 )
 
 var (
-	// ErrDown says that the engine gave no answer.
-	ErrDown = errors.New("the engine gives no answer")
-	// ErrFenced says that the engine has obeyed a later order.
-	ErrFenced = errors.New("the engine has obeyed a later order")
+	// ErrUnreachable says that the engine gave no answer.
+	ErrUnreachable = errors.New("the engine gives no answer")
+	// ErrStaleFence says that the engine has obeyed a later order.
+	ErrStaleFence = errors.New("the engine has obeyed a later order")
 )
 
 // LoadStatus is where the engine stands with a model.
@@ -32,8 +32,8 @@
 	StatusFailed  LoadStatus = "failed"
 )
 
-// Loaded is a model that the engine holds or is loading.
-type Loaded struct {
+// ModelState is a model that the engine holds or is loading.
+type ModelState struct {
 	Organisation id.Organisation `json:"organisation"`
 	Model        id.Model        `json:"model"`
 	Version      id.Version      `json:"version"`
@@ -53,21 +53,21 @@
 
 // State is what an engine says of itself.
 type State struct {
-	// Boot changes with each start of the engine.
-	Boot   string   `json:"boot"`
+	// BootID changes with each start of the engine.
+	BootID   string   `json:"boot"`
 	Role   string   `json:"role"`
-	Models []Loaded `json:"models"`
+	Models []ModelState `json:"models"`
 	Load   Load     `json:"load"`
 }
 
-// Find returns the engine's entry for a model.
-func (s State) Find(o id.Organisation, m id.Model) (Loaded, bool) {
+// FindModel returns the engine's entry for a model.
+func (s State) FindModel(o id.Organisation, m id.Model) (ModelState, bool) {
 	for _, l := range s.Models {
 		if l.Organisation == o && l.Model == m {
 			return l, true
 		}
 	}
-	return Loaded{}, false
+	return ModelState{}, false
 }
 
 // Order tells an engine to load a version. An engine that checks fences refuses one that is lower than the last.
@@ -83,8 +83,8 @@
 	ContentURL  string `json:"content_url"`
 }
 
-// Role is a fenced order to change what an engine does, for example "prefill" or "decode".
-type Role struct {
+// RoleOrder is a fenced order to change what an engine does, for example "prefill" or "decode".
+type RoleOrder struct {
 	Name  string   `json:"name"`
 	Fence id.Fence `json:"fence"`
 }
@@ -140,15 +140,15 @@
 	}
 	a, err := e.client.Do(r)
 	if err != nil {
-		return trace.Wrap(errors.Join(ErrDown, err))
+		return trace.Wrap(errors.Join(ErrUnreachable, err))
 	}
 	defer a.Body.Close()
 	switch {
 	case a.StatusCode == http.StatusConflict:
-		return trace.Wrap(ErrFenced)
+		return trace.Wrap(ErrStaleFence)
 	case a.StatusCode >= http.StatusMultipleChoices:
 		text, _ := io.ReadAll(io.LimitReader(a.Body, 512))
-		return trace.Wrap(ErrDown, "status %d: %s", a.StatusCode, text)
+		return trace.Wrap(ErrUnreachable, "status %d: %s", a.StatusCode, text)
 	case into == nil:
 		return nil
 	}
--- a/internal/fleet/rollout_test.go
+++ b/internal/fleet/rollout_test.go
@@ -285,6 +285,6 @@
 }
 
 func loading(a *fleet.Agent) bool {
-	l, ok := a.Engine.State().Find(fleet.Organisation, fleet.Model)
+	l, ok := a.Engine.State().FindModel(fleet.Organisation, fleet.Model)
 	return ok && l.Status == engine.StatusLoading
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -73,12 +73,12 @@
 
 	mu      sync.Mutex
 	faults  EngineFaults
-	models  map[modelKey]engine.Loaded
+	models  map[modelKey]engine.ModelState
 	fences  map[modelKey]id.Fence
 	cancels map[modelKey]context.CancelFunc
 	batch   *batch
 	stats   EngineStats
-	role    engine.Role
+	role    engine.RoleOrder
 }
 
 // EngineStats counts what matters for proof.
@@ -96,7 +96,7 @@
 // NewEngine makes an engine that has nothing loaded. It decodes until the context ends.
 func NewEngine(ctx context.Context, s EngineSettings) *Engine {
 	e := &Engine{
-		settings: s, client: &http.Client{}, boot: uuid.NewString(), models: map[modelKey]engine.Loaded{},
+		settings: s, client: &http.Client{}, boot: uuid.NewString(), models: map[modelKey]engine.ModelState{},
 		fences: map[modelKey]id.Fence{}, cancels: map[modelKey]context.CancelFunc{}, batch: newBatch(s),
 		stats: EngineStats{Runs: map[string]int{}, Tokens: map[string]int{}, Loads: map[string]int{}},
 	}
@@ -156,7 +156,7 @@
 func (e *Engine) State() engine.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	s := engine.State{Boot: e.boot, Role: e.role.Name, Load: e.batch.laggingLoad()}
+	s := engine.State{BootID: e.boot, Role: e.role.Name, Load: e.batch.laggingLoad()}
 	for _, l := range e.models {
 		s.Models = append(s.Models, l)
 	}
@@ -199,7 +199,7 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	e.cancels[k] = stop
-	e.models[k] = engine.Loaded{
+	e.models[k] = engine.ModelState{
 		Organisation: o.Organisation, Model: o.Model, Version: o.Version, Fence: o.Fence, Status: engine.StatusLoading,
 	}
 	go e.load(ctx, k, o)
@@ -223,7 +223,7 @@
 
 // handleRole changes the engine's role; orders of a lower fence are refused.
 func (e *Engine) handleRole(w http.ResponseWriter, r *http.Request) {
-	var o engine.Role
+	var o engine.RoleOrder
 	if !decode(w, r, &o) {
 		return
 	}
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -72,7 +72,7 @@
 		return func() engine.LoadStatus {
 			var s engine.State
 			Expect(json.Unmarshal(do(h, http.MethodGet, "/admin/state", "").Body.Bytes(), &s)).To(Succeed())
-			l, _ := s.Find("gym", id.Model(model))
+			l, _ := s.FindModel("gym", id.Model(model))
 			return l.Status
 		}
 	}
--- a/internal/upstream/activator.go
+++ b/internal/upstream/activator.go
@@ -82,7 +82,7 @@
 }
 
 // loadedRollout finds the rollout whose exact content the engine says it has loaded for a model.
-func (a *Activator) loadedRollout(l engine.Loaded) *pb.Rollout {
+func (a *Activator) loadedRollout(l engine.ModelState) *pb.Rollout {
 	for _, r := range a.config().Rollouts() {
 		v := r.GetVersion()
 		if r.GetOrganisation() == string(l.Organisation) && v.GetModel() == string(l.Model) &&
@@ -164,7 +164,7 @@
 	if !p.Complete {
 		return false
 	}
-	l, ok := s.Find(id.Organisation(r.GetOrganisation()), id.Model(r.GetVersion().GetModel()))
+	l, ok := s.FindModel(id.Organisation(r.GetOrganisation()), id.Model(r.GetVersion().GetModel()))
 	if !ok || l.Fence < id.Fence(r.GetFence()) {
 		return true
 	}
@@ -210,7 +210,7 @@
 		ContentURL:     a.localURL + "/local/" + r.GetId() + "/content",
 	})
 	switch {
-	case errors.Is(err, engine.ErrFenced):
+	case errors.Is(err, engine.ErrStaleFence):
 		a.event(kernel.EventLoadRefused, r, "the engine has obeyed a later order")
 	case err != nil:
 		a.log.Warn().Err(err).Str("rollout", r.GetId()).Msg("the engine took no order")
@@ -250,7 +250,7 @@
 	if a.swapping[id.Rollout(r.GetId())] {
 		m.State, m.Reason = pb.ReplicaState_REPLICA_STATE_LOADING, "the engine is about to load"
 	}
-	l, ok := s.Find(id.Organisation(r.GetOrganisation()), id.Model(r.GetVersion().GetModel()))
+	l, ok := s.FindModel(id.Organisation(r.GetOrganisation()), id.Model(r.GetVersion().GetModel()))
 	if !ok || l.Fence != id.Fence(r.GetFence()) {
 		return m
 	}
