--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -37,10 +37,10 @@
 	Kind       Kind
 	// Timeout is the longest time that a request may be held.
 	Timeout time.Duration
-	// Aim is the time to the answer, or to a stream's first event, within which it has its full worth.
-	Aim time.Duration
-	// GapAim is the longest pause between two events of a stream that is still in time.
-	GapAim time.Duration
+	// LatencyTarget is the time to the answer, or to a stream's first event, within which it has its full worth.
+	LatencyTarget time.Duration
+	// GapTarget is the longest pause between two events of a stream that is still in time.
+	GapTarget time.Duration
 	// Priority ranks routes; 0 comes first.
 	Priority int
 	Shares   []Share
@@ -61,25 +61,25 @@
 type Engine struct {
 	// Slots is the number of requests that run at once.
 	Slots int
-	// Step is the time of a token step, and PerSequence what each running request adds to it.
-	Step, PerSequence time.Duration
-	// ContextPer1k is what 1,000 tokens of context of a running request add to a step.
-	ContextPer1k time.Duration
-	// ReadPerSecond is the number of prompt tokens read in a second.
-	ReadPerSecond float64
-	// ReadChunk is the most prompt tokens that one pass reads.
-	ReadChunk int
-	// Stride is the number of token steps in a pass.
-	Stride int
-	// UsualPrompt and UsualAnswer are the mean tokens of a request.
-	UsualPrompt, UsualAnswer float64
+	// StepTime is the time of a token step, and StepTimePerRequest what each running request adds to it.
+	StepTime, StepTimePerRequest time.Duration
+	// StepTimePer1kContext is what 1,000 tokens of context of a running request add to a step.
+	StepTimePer1kContext time.Duration
+	// PrefillTokensPerSecond is the number of prompt tokens read in a second.
+	PrefillTokensPerSecond float64
+	// MaxPrefillTokens is the most prompt tokens that one pass reads.
+	MaxPrefillTokens int
+	// StepsPerPass is the number of token steps in a pass.
+	StepsPerPass int
+	// MeanPromptTokens and MeanAnswerTokens are the mean tokens of a request.
+	MeanPromptTokens, MeanAnswerTokens float64
 	// ContextTokens is the number of tokens of context that fit into the memory beside the weights.
 	ContextTokens float64
 	// Layers, Chunks and ChunkBytes are the shape of a model's weights.
 	Layers, Chunks int
 	ChunkBytes     int
-	// Warm is how long an engine takes to load a whole model.
-	Warm   time.Duration
+	// LoadTime is how long an engine takes to load a whole model.
+	LoadTime   time.Duration
 	Models []id.Model
 }
 
@@ -132,8 +132,8 @@
 		h := normalHost(r.Host)
 		c.byHost[h] = append(c.byHost[h], r)
 		for _, p := range r.Shares {
-			if old, ok := c.aims[p.Pool]; r.Aim > 0 && (!ok || r.Aim < old) {
-				c.aims[p.Pool] = r.Aim
+			if old, ok := c.aims[p.Pool]; r.LatencyTarget > 0 && (!ok || r.LatencyTarget < old) {
+				c.aims[p.Pool] = r.LatencyTarget
 			}
 		}
 	}
@@ -171,9 +171,9 @@
 	return c.byKey[key]
 }
 
-// Aim is the shortest aim of a pool's routes. All requests for the pool are let in by it: by its own, the route with the
+// LatencyTarget is the shortest aim of a pool's routes. All requests for the pool are let in by it: by its own, the route with the
 // longest aim would fill the queue and leave the others none.
-func (c *Catalog) Aim(p id.Pool) time.Duration {
+func (c *Catalog) LatencyTarget(p id.Pool) time.Duration {
 	return c.aims[p]
 }
 
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -52,9 +52,9 @@
 
 	It("lets requests for a pool in by the shortest aim of its routes", func() {
 		share := []Share{{Pool: "a", Weight: 1}}
-		c := New(1, []*Route{{Aim: 500, Shares: share}, {Aim: 400, Shares: share}, {Shares: share}}, nil, nil, Limits{})
-		Expect(c.Aim("a")).To(Equal(time.Duration(400)))
-		Expect(c.Aim("b")).To(BeZero())
+		c := New(1, []*Route{{LatencyTarget: 500, Shares: share}, {LatencyTarget: 400, Shares: share}, {Shares: share}}, nil, nil, Limits{})
+		Expect(c.LatencyTarget("a")).To(Equal(time.Duration(400)))
+		Expect(c.LatencyTarget("b")).To(BeZero())
 	})
 
 	It("splits a route's requests by weight", func() {
--- a/internal/decide/play.go
+++ b/internal/decide/play.go
@@ -84,17 +84,17 @@
 	for i := range s.Kinds {
 		k := &s.Kinds[i]
 		r := &catalog.Route{
-			Name: id.Route(k.Name), Host: "h", PathPrefix: "/" + k.Name + "/", Kind: catalog.Streaming, Timeout: ms(k.PatienceMs), Aim: ms(k.AimMs),
-			GapAim: ms(k.GapAimMs), Shares: []catalog.Share{{Pool: pool, Weight: 1}}, MaxAttempts: k.MaxAttempts, Resumable: true, Public: true,
+			Name: id.Route(k.Name), Host: "h", PathPrefix: "/" + k.Name + "/", Kind: catalog.Streaming, Timeout: ms(k.PatienceMs), LatencyTarget: ms(k.AimMs),
+			GapTarget: ms(k.GapAimMs), Shares: []catalog.Share{{Pool: pool, Weight: 1}}, MaxAttempts: k.MaxAttempts, Resumable: true, Public: true,
 		}
 		p.routes[k.Name] = r
 		routes = append(routes, r)
 	}
 	engine := &catalog.Engine{
-		Slots: e.Slots, Step: ms(e.StepMs), PerSequence: ms(e.PerSeqMs), ContextPer1k: ms(e.ContextPerKMs), ReadPerSecond: e.ReadPerS,
-		ReadChunk: e.Chunk, Stride: e.Stride, Warm: ms(e.LoadMs), Models: []id.Model{model},
-		UsualPrompt: s.usual(func(k *Kind) float64 { return k.Prompt.Mean }),
-		UsualAnswer: s.usual(func(k *Kind) float64 { return k.Events.Mean }) * float64(e.Stride),
+		Slots: e.Slots, StepTime: ms(e.StepMs), StepTimePerRequest: ms(e.PerSeqMs), StepTimePer1kContext: ms(e.ContextPerKMs), PrefillTokensPerSecond: e.ReadPerS,
+		MaxPrefillTokens: e.Chunk, StepsPerPass: e.Stride, LoadTime: ms(e.LoadMs), Models: []id.Model{model},
+		MeanPromptTokens: s.usual(func(k *Kind) float64 { return k.Prompt.Mean }),
+		MeanAnswerTokens: s.usual(func(k *Kind) float64 { return k.Events.Mean }) * float64(e.Stride),
 	}
 	p.catalog = catalog.New(1, routes, []*catalog.Service{{Name: pool, Engine: engine}}, nil, catalog.Limits{})
 }
--- a/internal/decide/way.go
+++ b/internal/decide/way.go
@@ -78,7 +78,7 @@
 func aimShare(share float64) func(*door, *placement.Forecast, []placement.Candidate) {
 	return func(d *door, w *placement.Forecast, _ []placement.Candidate) {
 		m := placement.NewLatencyModel(d.play.catalog.Services[pool].Engine)
-		aim := time.Duration(float64(d.play.catalog.Aim(pool)) * share / standingShare)
+		aim := time.Duration(float64(d.play.catalog.LatencyTarget(pool)) * share / standingShare)
 		w.CanAdmit = func(c *placement.Candidate) bool { return placement.InTime(m.AdmissionLatency(c), 0, aim) }
 	}
 }
--- a/internal/gateway/begun_test.go
+++ b/internal/gateway/begun_test.go
@@ -26,7 +26,7 @@
 
 	// settings are a second configuration, with a key and limits that the first does not have.
 	settings := func(b *testbed, routes []*catalog.Route, keys ...string) {
-		services := []*catalog.Service{{Name: "plain"}, {Name: "engines", Engine: &catalog.Engine{Slots: 4, Step: time.Millisecond, ReadPerSecond: 100000}}}
+		services := []*catalog.Service{{Name: "plain"}, {Name: "engines", Engine: &catalog.Engine{Slots: 4, StepTime: time.Millisecond, PrefillTokensPerSecond: 100000}}}
 		orgs := []*catalog.Organisation{{Name: "gym", Keys: keys}}
 		b.facts.SetCatalog(catalog.New(8, routes, services, orgs, catalog.Limits{HeaderBytes: 1, BodyBytes: 1, IdleTimeout: time.Millisecond}))
 	}
--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -25,7 +25,7 @@
 	clock := func() time.Time { return now }
 	f := facts.New(clock)
 	e := &catalog.Engine{
-		Slots: 12, Step: 9 * time.Millisecond, ReadPerSecond: 19100, ReadChunk: 2048, Stride: 5, UsualPrompt: 900, UsualAnswer: 100,
+		Slots: 12, StepTime: 9 * time.Millisecond, PrefillTokensPerSecond: 19100, MaxPrefillTokens: 2048, StepsPerPass: 5, MeanPromptTokens: 900, MeanAnswerTokens: 100,
 		Models: []id.Model{"m"},
 	}
 	r := route(catalog.Streaming, "engines")
--- a/internal/gateway/desk.go
+++ b/internal/gateway/desk.go
@@ -88,7 +88,7 @@
 		// The request has been offered to an upstream already: late is better than not at all.
 		passed = 0
 	}
-	aim := q.Catalog.Aim(q.Pool)
+	aim := q.Catalog.LatencyTarget(q.Pool)
 	w := d.outlook(q, m, e, l, passed, aim)
 	if d.AdjustOutlook != nil {
 		d.AdjustOutlook(w, l)
@@ -143,7 +143,7 @@
 		PredictFirstEvent: func(c *placement.Candidate) time.Duration { return m.FirstEvent(c, q.PromptTokens) },
 		CanAdmit:          func(c *placement.Candidate) bool { return placement.InTime(m.AdmissionLatency(c), 0, aim) },
 		Advance:           m.Advance,
-		Horizon:           2 * placement.MeanReportAge(l, d.Domain), UsualPrompt: e.UsualPrompt, Demand: d.Load.Demand(q.Pool), Domain: d.Domain, Late: late,
+		Horizon:           2 * placement.MeanReportAge(l, d.Domain), UsualPrompt: e.MeanPromptTokens, Demand: d.Load.Demand(q.Pool), Domain: d.Domain, Late: late,
 	}
 }
 
@@ -179,7 +179,7 @@
 	usual := 0.0
 	var m placement.LatencyModel
 	if s.Engine != nil {
-		usual = s.Engine.UsualPrompt
+		usual = s.Engine.MeanPromptTokens
 		m = placement.NewLatencyModel(s.Engine)
 	}
 	q.newest = d.Facts.Wanted(q.Model).Revision
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -98,7 +98,7 @@
 func newTestbedAt(now func() time.Time, routes ...*catalog.Route) *testbed {
 	f := facts.New(now)
 	services := []*catalog.Service{{Name: "plain"}, {Name: "engines", Engine: &catalog.Engine{
-		Slots: 4, Step: time.Millisecond, ReadPerSecond: 100000, ReadChunk: 2048, Stride: 5, UsualPrompt: 100, UsualAnswer: 20,
+		Slots: 4, StepTime: time.Millisecond, PrefillTokensPerSecond: 100000, MaxPrefillTokens: 2048, StepsPerPass: 5, MeanPromptTokens: 100, MeanAnswerTokens: 20,
 	}}}
 	orgs := []*catalog.Organisation{{Name: "gym", Keys: []string{"secret"}}}
 	f.SetCatalog(catalog.New(7, routes, services, orgs, catalog.Limits{HeaderBytes: 2000, BodyBytes: 1000}))
@@ -130,7 +130,7 @@
 // route makes a public route to a pool.
 func route(kind catalog.Kind, pool id.Pool) *catalog.Route {
 	return &catalog.Route{
-		Name: "r", Host: "h.example", PathPrefix: "/p/", Kind: kind, Timeout: 2 * time.Second, Aim: time.Second,
+		Name: "r", Host: "h.example", PathPrefix: "/p/", Kind: kind, Timeout: 2 * time.Second, LatencyTarget: time.Second,
 		Shares: []catalog.Share{{Pool: pool, Weight: 1}}, MaxAttempts: 2, Public: true, Resumable: kind == catalog.Streaming,
 	}
 }
@@ -338,7 +338,7 @@
 var _ = Describe("an upstream that takes no connection", func() {
 	It("costs its requests no more than the time to find out: they go on late rather than not at all", func() {
 		r := route(catalog.Streaming, "engines")
-		r.Aim = 400 * time.Millisecond // far above what a busy machine adds to the prediction, 8 times 7 ms
+		r.LatencyTarget = 400 * time.Millisecond // far above what a busy machine adds to the prediction, 8 times 7 ms
 		b := newTestbed(r)
 		b.upstream("v", "engines", func(q *http.Request, _ string, c net.Conn) {
 			stream(c, q, xRevision+": 1\r\n", "id: 1\ndata: a\n\n")
@@ -358,7 +358,7 @@
 		dial := (&net.Dialer{}).DialContext
 		b.gateway.pool = upconn.New(func(ctx context.Context, network, address string) (net.Conn, error) {
 			if address == dead {
-				time.Sleep(2 * r.Aim)
+				time.Sleep(2 * r.LatencyTarget)
 				return nil, io.ErrUnexpectedEOF
 			}
 			return dial(ctx, network, address)
--- a/internal/gateway/left_test.go
+++ b/internal/gateway/left_test.go
@@ -83,7 +83,7 @@
 	// reported its load to that gateway five times a second.
 	It("gets no request any more from a gateway whose own list still has it as ready", func() {
 		r := route(catalog.Streaming, "engines")
-		r.Aim = 400 * time.Millisecond
+		r.LatencyTarget = 400 * time.Millisecond
 		b := newTestbed(r)
 		b.upstream("u", "engines", func(q *http.Request, _ string, c net.Conn) {
 			stream(c, q, xRevision+": 1\r\n", "id: 1\ndata: a\n\n")
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -297,7 +297,7 @@
 	}
 	if f.route != nil {
 		e = e.Str("route", string(f.route.Name)).Str("organisation", string(f.org)).Str("pool", string(f.pool)).
-			Int64("route_aim_ms", f.route.Aim.Milliseconds())
+			Int64("route_aim_ms", f.route.LatencyTarget.Milliseconds())
 	}
 	if f.upstream != "" {
 		e = e.Str("upstream", f.upstream).Int64("predicted_ms", f.predicted.Milliseconds()).
--- a/internal/gateway/stream_test.go
+++ b/internal/gateway/stream_test.go
@@ -262,7 +262,7 @@
 
 	It("is refused at once where every upstream is too busy to be in time", func() {
 		r := route(catalog.Streaming, "engines")
-		r.Aim = 50 * time.Millisecond
+		r.LatencyTarget = 50 * time.Millisecond
 		b := newTestbed(r)
 		b.upstream("u", "engines", resume)
 		b.tracker.SetReport(b.facts.Instances()[0].Address, placement.LoadReport{
--- a/internal/gateway/way_test.go
+++ b/internal/gateway/way_test.go
@@ -174,7 +174,7 @@
 
 func newFarEnd(ctx context.Context, within time.Duration) *farEnd {
 	r := route(catalog.Streaming, "engines")
-	r.Timeout, r.Aim = 20*time.Second, 10*time.Second
+	r.Timeout, r.LatencyTarget = 20*time.Second, 10*time.Second
 	e := &farEnd{testbed: newTestbed(r), link: newLink(ctx)}
 	e.gateway.settings.SwapWithin = within
 	e.upstream("u", "engines", func(q *http.Request, _ string, c net.Conn) {
--- a/internal/placement/outlook_test.go
+++ b/internal/placement/outlook_test.go
@@ -29,9 +29,9 @@
 func outlookOf(d Demand) *Forecast {
 	m := NewLatencyModel(engine())
 	return &Forecast{
-		PredictFirstEvent: func(c *Candidate) time.Duration { return m.FirstEvent(c, m.engine.UsualPrompt) },
+		PredictFirstEvent: func(c *Candidate) time.Duration { return m.FirstEvent(c, m.engine.MeanPromptTokens) },
 		CanAdmit:          func(c *Candidate) bool { return InTime(m.AdmissionLatency(c), 0, 300*time.Millisecond) },
-		Advance:           m.Advance, Horizon: 200 * time.Millisecond, UsualPrompt: m.engine.UsualPrompt, Demand: d, Domain: "d",
+		Advance:           m.Advance, Horizon: 200 * time.Millisecond, UsualPrompt: m.engine.MeanPromptTokens, Demand: d, Domain: "d",
 	}
 }
 
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -23,8 +23,8 @@
 // engine is like the users' engines.
 func engine() *catalog.Engine {
 	return &catalog.Engine{
-		Slots: 16, Step: 9270 * time.Microsecond, PerSequence: 23 * time.Microsecond, ContextPer1k: 32 * time.Microsecond,
-		ReadPerSecond: 20700, ReadChunk: 2048, Stride: 5, UsualPrompt: 979, UsualAnswer: 92,
+		Slots: 16, StepTime: 9270 * time.Microsecond, StepTimePerRequest: 23 * time.Microsecond, StepTimePer1kContext: 32 * time.Microsecond,
+		PrefillTokensPerSecond: 20700, MaxPrefillTokens: 2048, StepsPerPass: 5, MeanPromptTokens: 979, MeanAnswerTokens: 92,
 	}
 }
 
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -100,21 +100,21 @@
 		return 0
 	}
 	e := m.engine
-	context := float64(running) * (e.UsualPrompt + e.UsualAnswer/2) / 1000
-	step := e.Step + time.Duration(running)*e.PerSequence + time.Duration(context*float64(e.ContextPer1k))
-	return time.Duration(e.Stride) * step
+	context := float64(running) * (e.MeanPromptTokens + e.MeanAnswerTokens/2) / 1000
+	step := e.StepTime + time.Duration(running)*e.StepTimePerRequest + time.Duration(context*float64(e.StepTimePer1kContext))
+	return time.Duration(e.StepsPerPass) * step
 }
 
 // read is how long a number of prompt tokens takes to read.
 func (m LatencyModel) read(tokens float64) time.Duration {
-	return time.Duration(tokens / m.engine.ReadPerSecond * float64(time.Second))
+	return time.Duration(tokens / m.engine.PrefillTokensPerSecond * float64(time.Second))
 }
 
 // TimePerRequest is the engine's time for a usual request when all slots are taken: what each place in the queue costs.
 func (m LatencyModel) TimePerRequest(slots int) time.Duration {
 	e := m.engine
-	passes := e.UsualAnswer / float64(max(1, e.Stride))
-	return time.Duration(passes*float64(m.pass(slots))/float64(max(1, slots))) + m.read(e.UsualPrompt)
+	passes := e.MeanAnswerTokens / float64(max(1, e.StepsPerPass))
+	return time.Duration(passes*float64(m.pass(slots))/float64(max(1, slots))) + m.read(e.MeanPromptTokens)
 }
 
 // Advance takes off an upstream what it is expected to do in a time: running requests end after their share of the engine's
@@ -131,10 +131,10 @@
 		each := float64(running) * float64(m.TimePerRequest(running))
 		ended = min(running, int(math.Round(float64(running)*worked/each)))
 	}
-	perToken := float64(time.Second)/m.engine.ReadPerSecond + float64(m.pass(running))/float64(max(1, m.engine.ReadChunk))
+	perToken := float64(time.Second)/m.engine.PrefillTokensPerSecond + float64(m.pass(running))/float64(max(1, m.engine.MaxPrefillTokens))
 	read := worked / perToken
-	begun := min(c.Waiting, slots-running+ended, int(math.Round(read/max(1, m.engine.UsualPrompt))))
-	c.SpareTokens = max(0, read-float64(begun)*m.engine.UsualPrompt)
+	begun := min(c.Waiting, slots-running+ended, int(math.Round(read/max(1, m.engine.MeanPromptTokens))))
+	c.SpareTokens = max(0, read-float64(begun)*m.engine.MeanPromptTokens)
 	if c.Waiting > 0 {
 		c.Backlog *= float64(c.Waiting-begun) / float64(c.Waiting)
 	}
@@ -147,7 +147,7 @@
 	slots := max(1, c.Slots)
 	pass := m.pass(min(c.load(), slots))
 	tokens := prompt + c.Backlog
-	passes := 1 + tokens/float64(max(1, m.engine.ReadChunk))
+	passes := 1 + tokens/float64(max(1, m.engine.MaxPrefillTokens))
 	d := pass/2 + m.read(tokens) + time.Duration(passes*float64(pass))
 	if over := c.load() + 1 - slots; over > 0 {
 		d = pass + m.read(prompt) + time.Duration(over)*m.TimePerRequest(slots)
@@ -161,5 +161,5 @@
 
 // AdmissionLatency is the time to the first event that decides whether requests are let in at an upstream.
 func (m LatencyModel) AdmissionLatency(c *Candidate) time.Duration {
-	return m.FirstEvent(c, admissionPrompt*m.engine.UsualPrompt)
+	return m.FirstEvent(c, admissionPrompt*m.engine.MeanPromptTokens)
 }
