--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -79,8 +79,8 @@
 	Layers, Chunks int
 	ChunkBytes     int
 	// LoadTime is how long an engine takes to load a whole model.
-	LoadTime   time.Duration
-	Models []id.Model
+	LoadTime time.Duration
+	Models   []id.Model
 }
 
 // Service is a pool of upstreams, or a place that weights come from.
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -54,10 +54,10 @@
 // State is what an engine says of itself.
 type State struct {
 	// BootID changes with each start of the engine.
-	BootID   string   `json:"boot"`
-	Role   string   `json:"role"`
+	BootID string       `json:"boot"`
+	Role   string       `json:"role"`
 	Models []ModelState `json:"models"`
-	Load   Load     `json:"load"`
+	Load   Load         `json:"load"`
 }
 
 // FindModel returns the engine's entry for a model.
@@ -156,7 +156,7 @@
 }
 
 // Send passes a request to the upstream, at most once unless it is repeatable. A connection that could not be made is
-// ErrDown: nothing was sent.
+// ErrUnreachable: nothing was sent.
 func (e *Engine) Send(r *http.Request, repeatable bool) (*http.Response, error) {
 	c := e.once
 	if repeatable {
--- a/internal/stager/ports.go
+++ b/internal/stager/ports.go
@@ -34,7 +34,7 @@
 	// Incarnation is the number of the upstream's life: as long as it stays the same, the upstream has not started anew. It may change
 	// without a start.
 	Incarnation uint64
-	Held []facts.Held
+	Held        []facts.Held
 	// Limit is what the upstream says here of the requests that it takes.
 	Limit throttle.LimitInfo
 	// Leaving says that the upstream is about to end.
@@ -54,11 +54,11 @@
 
 // Upstream is the way to the upstream beside the stager; function fields so that tests can replace each.
 type Upstream struct {
-	State  func(ctx context.Context) (State, error)
+	State        func(ctx context.Context) (State, error)
 	StagedChunks func(ctx context.Context, m id.Model) ([]id.Chunk, error)
 	ReadChunk    func(ctx context.Context, m id.Model, c id.Chunk) ([]byte, error)
-	StageChunk    func(ctx context.Context, m id.Model, c id.Chunk, data []byte) error
-	Load   func(ctx context.Context, o Order) error
+	StageChunk   func(ctx context.Context, m id.Model, c id.Chunk, data []byte) error
+	Load         func(ctx context.Context, o Order) error
 }
 
 // Origin is the way to the place that weights come from.
--- a/internal/swarm/pick.go
+++ b/internal/swarm/pick.go
@@ -45,8 +45,8 @@
 	// MayImport says whether a chunk may be taken from another failure domain now; nil allows all.
 	MayImport func(c id.Chunk) bool
 	// KnownFor is how long a neighbour has been known to hold a chunk that this VM lacks; nil knows of none.
-	KnownFor  func(c id.Chunk) time.Duration
-	Limits Limits
+	KnownFor func(c id.Chunk) time.Duration
+	Limits   Limits
 }
 
 // PickPeer chooses the next chunk and the neighbour to take it from: the rarest that a free neighbour holds, ties
--- a/internal/transfer/download.go
+++ b/internal/transfer/download.go
@@ -119,7 +119,7 @@
 type Dependencies struct {
 	Settings *Settings
 	Self     swarm.Member
-	Holdings    *HoldingStore
+	Holdings *HoldingStore
 	Log      *log.Logger
 	Events   *kernel.EventRing
 	Stats    *Stats
@@ -385,7 +385,7 @@
 	now := time.Now()
 	v := &swarm.View{
 		MayImport: func(c id.Chunk) bool { return d.importers.Allowed(c, now.Sub(d.seen[c])) },
-		KnownFor:     func(c id.Chunk) time.Duration { return now.Sub(d.seen[c]) },
+		KnownFor:  func(c id.Chunk) time.Duration { return now.Sub(d.seen[c]) },
 		Now:       now, Chunks: len(d.rarity), Have: d.have, InFlight: d.inFlight, Rarity: d.rarity,
 		Limits: swarm.Limits{
 			PerPeer: d.settings.PerPeer, Total: d.downloads(), EndgameChunks: d.settings.Downloads / 2,
--- a/internal/transfer/download_test.go
+++ b/internal/transfer/download_test.go
@@ -87,10 +87,10 @@
 			}
 			return l
 		},
-		FetchChunk:    func(context.Context, string, id.Rollout, id.Chunk, int64) ([]byte, error) { return nil, errGone },
-		FetchManifest: func(context.Context, string, id.Rollout) ([]byte, error) { return nil, errGone },
-		Have:          func(context.Context, string, *pb.HaveRequest) (*pb.HaveResponse, error) { return nil, errGone },
-		FetchFromSource:          s.draw,
+		FetchChunk:      func(context.Context, string, id.Rollout, id.Chunk, int64) ([]byte, error) { return nil, errGone },
+		FetchManifest:   func(context.Context, string, id.Rollout) ([]byte, error) { return nil, errGone },
+		Have:            func(context.Context, string, *pb.HaveRequest) (*pb.HaveResponse, error) { return nil, errGone },
+		FetchFromSource: s.draw,
 	}
 	if change != nil {
 		change(&d.links)
@@ -255,7 +255,9 @@
 					return s.content[int64(c)*size : int64(c+1)*size], nil
 				}
 			}
-			l.FetchFromSource = func(context.Context, *pb.Rollout, string, int64, int64) (SourceData, error) { return SourceData{}, errGone }
+			l.FetchFromSource = func(context.Context, *pb.Rollout, string, int64, int64) (SourceData, error) {
+				return SourceData{}, errGone
+			}
 		})
 		Expect(finish(d, 10*time.Second)).To(BeTrue())
 		Expect(d.stats.failed.Load()).To(BeZero())
--- a/internal/transfer/part.go
+++ b/internal/transfer/part.go
@@ -32,10 +32,10 @@
 	MemoryBytes int `toml:"memory_bytes"`
 	// UplinkBytesPerSecond paces uploads; 0 does not pace.
 	UplinkBytesPerSecond int           `toml:"uplink_bytes_per_second"`
-	TakeoverDelay             time.Duration `toml:"patience"`
-	HaveInterval            time.Duration `toml:"have_every"`
+	TakeoverDelay        time.Duration `toml:"patience"`
+	HaveInterval         time.Duration `toml:"have_every"`
 	BusyRetry            time.Duration `toml:"busy_retry"`
-	SourceTimeout          time.Duration `toml:"draw_timeout"`
+	SourceTimeout        time.Duration `toml:"draw_timeout"`
 	// MaxQueueDelay is the longest time that chunks on their way to this VM may hold up a live request on the same link; 0
 	// sets no bound.
 	MaxQueueDelay time.Duration `toml:"queue_most"`
@@ -142,7 +142,7 @@
 // Replica is where a VM stands with fetching a version.
 type Replica struct {
 	Rollout     *pb.Rollout
-	Held, Total   int
+	Held, Total int
 	Complete    bool
 	OriginBytes int64
 	Reason      string
