--- a/internal/spread/gossip.go
+++ b/internal/spread/gossip.go
@@ -14,36 +14,37 @@
 )
 
 const (
-	// askTimeout bounds one question to another entry.
-	askTimeout = 2 * time.Second
-	// forgetAfter is how long a silent owner's statuses are kept.
-	forgetAfter = time.Minute
-	// tickEvery is how often an entry shows that it lives.
-	tickEvery = time.Second
+	// requestTimeout bounds one request to another entry.
+	requestTimeout = 2 * time.Second
+	// statusRetention is how long the statuses of an entry that no longer responds are kept.
+	statusRetention = time.Minute
+	// livenessInterval is the interval at which an entry advances its version in the gossip table, which shows that it
+	// is alive.
+	livenessInterval = time.Second
 )
 
-// Run gossips until the context ends.
+// Run exchanges statuses with other entries until the context ends.
 func (p *Part) Run(ctx context.Context) error {
-	go p.every(ctx, tickEvery, func() {
+	go p.runEvery(ctx, livenessInterval, func() {
 		p.members.Table.Tick()
-		p.members.Table.Forget(forgetAfter)
+		p.members.Table.Forget(statusRetention)
 	})
-	go p.every(ctx, p.members.Settings.FarEvery, func() { p.ask(ctx, p.farEntries(), "") })
-	p.every(ctx, p.members.Settings.GossipEvery, func() {
-		p.ask(ctx, p.others(p.host.Identity.Domain), p.host.Identity.Domain)
+	go p.runEvery(ctx, p.members.Settings.FarEvery, func() { p.pullStatuses(ctx, p.remoteEntries(), "") })
+	p.runEvery(ctx, p.members.Settings.GossipEvery, func() {
+		p.pullStatuses(ctx, p.otherEntries(p.host.Identity.Domain), p.host.Identity.Domain)
 	})
 	return nil
 }
 
-func (p *Part) every(ctx context.Context, d time.Duration, do func()) {
+func (p *Part) runEvery(ctx context.Context, d time.Duration, f func()) {
 	for ctx.Err() == nil {
-		do()
-		pause(ctx, d)
+		f()
+		sleep(ctx, d)
 	}
 }
 
-// others lists the entries of a domain, or of all, without this one.
-func (p *Part) others(d id.Domain) []*pb.VM {
+// otherEntries returns the entries of a failure domain, or of all for an empty one, except this entry.
+func (p *Part) otherEntries(d id.Domain) []*pb.VM {
 	var l []*pb.VM
 	for _, v := range p.members.List.Entries(d) {
 		if id.VM(v.GetId()) != p.host.Identity.VM {
@@ -53,10 +54,10 @@
 	return l
 }
 
-// farEntries lists the entries of other failure domains.
-func (p *Part) farEntries() []*pb.VM {
+// remoteEntries returns the entries of other failure domains.
+func (p *Part) remoteEntries() []*pb.VM {
 	var l []*pb.VM
-	for _, v := range p.others("") {
+	for _, v := range p.otherEntries("") {
 		if id.Domain(v.GetDomain()) != p.host.Identity.Domain {
 			l = append(l, v)
 		}
@@ -64,12 +65,12 @@
 	return l
 }
 
-// ask takes statuses from one of the entries, chosen at random.
-func (p *Part) ask(ctx context.Context, entries []*pb.VM, d id.Domain) {
+// pullStatuses requests statuses from one of the entries, chosen at random, and merges them.
+func (p *Part) pullStatuses(ctx context.Context, entries []*pb.VM, d id.Domain) {
 	if len(entries) == 0 {
 		return
 	}
-	ctx, stop := context.WithTimeout(ctx, askTimeout)
+	ctx, stop := context.WithTimeout(ctx, requestTimeout)
 	defer stop()
 	v := entries[rand.IntN(len(entries))]
 	a, err := p.rpc.Config(v.GetAddress()).Exchange(ctx, &pb.ExchangeRequest{
@@ -77,25 +78,25 @@
 		Domain:   string(d),
 	})
 	if err != nil {
-		p.host.Log.Debug().Err(err).Str("entry", v.GetId()).Msg("no statuses from an entry")
+		p.host.Log.Debug().Err(err).Str("entry", v.GetId()).Msg("could not get statuses from an entry")
 		return
 	}
 	p.members.Table.Merge(a.GetUpdates())
 }
 
-// catchUp takes configuration from other entries, those of the own failure domain first.
+// catchUp fetches configuration from other entries, first from those in this entry's failure domain.
 func (p *Part) catchUp(ctx context.Context) error {
-	entries := append(p.others(p.host.Identity.Domain), p.farEntries()...)
+	entries := append(p.otherEntries(p.host.Identity.Domain), p.remoteEntries()...)
 	for _, v := range entries {
 		if p.catchUpFrom(ctx, v) == nil {
 			return nil
 		}
 	}
-	return trace.Wrap(platform.ErrUnavailable, "no other entry of %d has the configuration", len(entries))
+	return trace.Wrap(platform.ErrUnavailable, "none of the %d other entries has the configuration", len(entries))
 }
 
 func (p *Part) catchUpFrom(ctx context.Context, v *pb.VM) error {
-	ctx, stop := context.WithTimeout(ctx, askTimeout)
+	ctx, stop := context.WithTimeout(ctx, requestTimeout)
 	defer stop()
 	a, err := p.rpc.Config(v.GetAddress()).Sync(ctx, &pb.SyncRequest{
 		Offset:        uint64(p.config.State().Offset()),
@@ -114,10 +115,10 @@
 	return err
 }
 
-// rank is this entry's place among the live ones for writing a snapshot.
-func (p *Part) rank() int {
+// snapshotRank returns this entry's rank among the live entries for writing a snapshot.
+func (p *Part) snapshotRank() int {
 	live := []id.VM{p.host.Identity.VM}
-	for _, v := range p.others("") {
+	for _, v := range p.otherEntries("") {
 		if p.members.Table.Alive(id.VM(v.GetId())) {
 			live = append(live, id.VM(v.GetId()))
 		}
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -1,5 +1,5 @@
-// Package spread is how an entry passes on what it knows: configuration and turns to the agents that have it as their
-// home, statuses to other entries, and configuration to entries that can't read the platform's log.
+// Package spread distributes state from an entry: configuration and swap permits to the agents that have it as their
+// home, statuses to other entries by gossip, and configuration to entries that cannot read the platform's log.
 package spread
 
 import (
@@ -18,15 +18,15 @@
 	"github.com/springrail/springrail/internal/rpc"
 )
 
-// PartName is what other parts name in their needs.
+// PartName is the name by which other parts depend on this one.
 const PartName = "spread"
 
-// maxWait bounds a long poll.
-const maxWait = 10 * time.Second
+// maxPollWait bounds a long poll.
+const maxPollWait = 10 * time.Second
 
-// Settings is the section [activation].
+// Settings holds the configuration section [activation].
 type Settings struct {
-	// SwapShare is the share of a failure domain's VMs that may swap at one time.
+	// SwapShare is the share of a failure domain's VMs that may swap at the same time.
 	SwapShare float64 `toml:"swap_share"`
 }
 
@@ -45,14 +45,14 @@
 	})
 }
 
-// Part serves ConfigService and gossips.
+// Part implements the ConfigService and the gossip between entries.
 type Part struct {
 	host     *kernel.Host
 	settings *Settings
 	config   *configlog.Part
 	members  *membership.Part
 	rpc      *rpc.Server
-	turns    *SwapPermits
+	permits  *SwapPermits
 }
 
 func newPart(h *kernel.Host) (any, error) {
@@ -63,13 +63,14 @@
 		members:  h.Part(membership.PartName).(*membership.Part),
 		rpc:      h.Part(rpc.PartName).(*rpc.Server),
 	}
-	p.turns = NewSwapPermits(p.settings.SwapShare, p.config.State, p.members.Table.Statuses, time.Now)
+	p.permits = NewSwapPermits(p.settings.SwapShare, p.config.State, p.members.Table.Statuses, time.Now)
 	p.rpc.Handle(springrailv1connect.NewConfigServiceHandler(p))
-	p.config.SetPeers(p.catchUp, p.rank)
+	p.config.SetPeers(p.catchUp, p.snapshotRank)
 	return p, nil
 }
 
-// Sync takes a heartbeat and answers once there is something new for the caller.
+// Sync records the caller's heartbeat and responds once there is new configuration or a new VM list, or the long poll
+// times out.
 func (p *Part) Sync(ctx context.Context, r *pb.SyncRequest) (*pb.SyncResponse, error) {
 	if s := r.GetStatus(); s != nil {
 		p.members.Table.Heartbeat(s)
@@ -77,13 +78,13 @@
 	if !p.config.Ready() {
 		return nil, connect.NewError(connect.CodeUnavailable, trace.Errorf("this entry has no configuration yet"))
 	}
-	wait := min(time.Duration(r.GetWaitMs())*time.Millisecond, maxWait)
+	wait := min(time.Duration(r.GetWaitMs())*time.Millisecond, maxPollWait)
 	ctx, stop := context.WithTimeout(ctx, wait)
 	defer stop()
 	for {
 		configured, listed := p.config.Changed(), p.members.List.Changed()
-		a := p.answer(r)
-		if ctx.Err() != nil || isNews(a) {
+		a := p.buildResponse(r)
+		if ctx.Err() != nil || hasUpdate(a) {
 			return a, nil
 		}
 		select {
@@ -94,18 +95,18 @@
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-func isNews(a *pb.SyncResponse) bool {
+func hasUpdate(a *pb.SyncResponse) bool {
 	return a.GetState() != nil || len(a.GetRecords()) > 0 || a.GetVmList() != nil
 }
 
-func (p *Part) answer(r *pb.SyncRequest) *pb.SyncResponse {
+func (p *Part) buildResponse(r *pb.SyncRequest) *pb.SyncResponse {
 	a := &pb.SyncResponse{}
 	a.Records, a.State = p.config.After(id.Offset(r.GetOffset()))
 	if l := p.members.List.Get(); l.GetVersion() > r.GetVmListVersion() {
@@ -114,7 +115,7 @@
 	return a
 }
 
-// Exchange returns the statuses that the caller lacks.
+// Exchange returns the statuses that are newer than the caller's.
 func (p *Part) Exchange(_ context.Context, r *pb.ExchangeRequest) (*pb.ExchangeResponse, error) {
 	return &pb.ExchangeResponse{Updates: p.members.Table.Newer(r.GetVersions(), id.Domain(r.GetDomain()))}, nil
 }
--- a/internal/spread/turn.go
+++ b/internal/spread/turn.go
@@ -13,57 +13,60 @@
 )
 
 const (
-	// grantFor is how long a turn is remembered; by then the VM's own status says that it loads.
-	grantFor = 5 * time.Second
-	// turnRecheck is the longest time between two looks, for turns that fall due by the clock.
-	turnRecheck = 200 * time.Millisecond
+	// grantLifetime is how long a granted permit counts; by then the VM's reported status shows that it loads.
+	grantLifetime = 5 * time.Second
+	// permitRecheckInterval is the longest time between two checks of a waiting request, for permits that become
+	// available with time alone.
+	permitRecheckInterval = 200 * time.Millisecond
 )
 
-// SwapPermits remembers the turns that this entry has given. One entry of a failure domain is asked for a rollout's turns,
-// so that two VMs that ask at one time can't both be the first.
+// SwapPermits grants and tracks the permits of VMs to swap to a rollout's version. All VMs of a failure domain request a
+// rollout's permits from the same entry, so that two concurrent requests cannot both be granted as the first.
 type SwapPermits struct {
 	share    float64
 	state    func() *config.State
 	statuses func() []*pb.VMStatus
 	now      func() time.Time
 	mu       sync.Mutex
-	given    map[id.Rollout]map[id.VM]time.Time
+	granted  map[id.Rollout]map[id.VM]time.Time
 }
 
-// NewSwapPermits makes a giver of turns; share is the part of a domain's VMs that may swap at one time.
+// NewSwapPermits returns a SwapPermits without grants; share is the share of a failure domain's VMs that may swap at the
+// same time.
 func NewSwapPermits(share float64, state func() *config.State, statuses func() []*pb.VMStatus, now func() time.Time) *SwapPermits {
-	return &SwapPermits{share: share, state: state, statuses: statuses, now: now, given: map[id.Rollout]map[id.VM]time.Time{}}
+	return &SwapPermits{share: share, state: state, statuses: statuses, now: now, granted: map[id.Rollout]map[id.VM]time.Time{}}
 }
 
-// TryGrant gives a VM its turn if the wave has room.
+// TryGrant grants a VM a swap permit if the current wave, the set of VMs that swap at the same time, has room.
 func (t *SwapPermits) TryGrant(r *pb.Rollout, s *pb.VMStatus) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	name, v := id.Rollout(r.GetId()), id.VM(s.GetVm().GetId())
 	replicas := Replicas(r, s, t.statuses())
-	given := t.current(name)
+	granted := t.activeGrants(name)
 	wave := activation.WaveSize(len(replicas), t.share)
-	if !activation.MaySwap(r, v, replicas, given, wave, t.now()) {
+	if !activation.MaySwap(r, v, replicas, granted, wave, t.now()) {
 		return false
 	}
-	if t.given[name] == nil {
-		t.given[name] = map[id.VM]time.Time{}
+	if t.granted[name] == nil {
+		t.granted[name] = map[id.VM]time.Time{}
 	}
-	t.given[name][v] = t.now().Add(grantFor)
+	t.granted[name][v] = t.now().Add(grantLifetime)
 	return true
 }
 
-// current lists the VMs whose turn still counts, and forgets the others and rollouts that have ended.
-func (t *SwapPermits) current(name id.Rollout) []id.VM {
-	for r := range t.given {
+// activeGrants returns the VMs whose permits have not expired, and removes expired ones and those of rollouts that are
+// no longer active.
+func (t *SwapPermits) activeGrants(name id.Rollout) []id.VM {
+	for r := range t.granted {
 		if t.state().Rollout(r).GetState() != pb.RolloutState_ROLLOUT_STATE_ACTIVE {
-			delete(t.given, r)
+			delete(t.granted, r)
 		}
 	}
 	var l []id.VM
-	for v, until := range t.given[name] {
+	for v, until := range t.granted[name] {
 		if t.now().After(until) {
-			delete(t.given[name], v)
+			delete(t.granted[name], v)
 			continue
 		}
 		l = append(l, v)
@@ -71,7 +74,8 @@
 	return l
 }
 
-// Replicas lists what is known of a rollout in one failure domain; the asking VM's own word is the newest of it.
+// Replicas returns the known replica states of a rollout in one failure domain; for the asking VM its status in the
+// request takes precedence as the newest.
 func Replicas(r *pb.Rollout, asking *pb.VMStatus, statuses []*pb.VMStatus) []activation.Replica {
 	l := []activation.Replica{replicaOf(r, asking)}
 	for _, s := range statuses {
@@ -99,14 +103,14 @@
 	return p
 }
 
-// AskTurn implements the configuration service.
+// AskTurn implements the ConfigService: it waits until the VM is granted a swap permit or the long poll times out.
 func (p *Part) AskTurn(ctx context.Context, r *pb.AskTurnRequest) (*pb.AskTurnResponse, error) {
-	ctx, stop := context.WithTimeout(ctx, min(time.Duration(r.GetWaitMs())*time.Millisecond, maxWait))
+	ctx, stop := context.WithTimeout(ctx, min(time.Duration(r.GetWaitMs())*time.Millisecond, maxPollWait))
 	defer stop()
 	for {
-		moved := p.members.Table.Changed()
+		changed := p.members.Table.Changed()
 		m := p.config.State().Rollout(id.Rollout(r.GetRollout()))
-		if m.GetState() == pb.RolloutState_ROLLOUT_STATE_ACTIVE && p.turns.TryGrant(m, r.GetStatus()) {
+		if m.GetState() == pb.RolloutState_ROLLOUT_STATE_ACTIVE && p.permits.TryGrant(m, r.GetStatus()) {
 			p.host.Events.Add(kernel.Event{
 				Kind: kernel.EventTurnGiven, Rollout: id.Rollout(r.GetRollout()),
 				Organisation: id.Organisation(m.GetOrganisation()), Detail: r.GetStatus().GetVm().GetId(),
@@ -118,8 +122,8 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-moved:
-		case <-time.After(turnRecheck):
+		case <-changed:
+		case <-time.After(permitRecheckInterval):
 		}
 	}
 }
