--- a/internal/swarm/import.go
+++ b/internal/swarm/import.go
@@ -8,37 +8,38 @@
 	"github.com/springrail/springrail/internal/rendezvous"
 )
 
-// ImportRankDelay is how long each further VM of a failure domain waits before it takes a chunk from another domain that the
-// VMs before it have not brought. A chunk of the users' crosses in about 50 ms where the links are free.
+// ImportRankDelay is how much longer each VM of a failure domain waits than the VM of the next lower rank before it
+// imports a chunk that the others have not. A typical chunk crosses an idle link in about 50 ms.
 const ImportRankDelay = 200 * time.Millisecond
 
-// ImportSchedule shares among the VMs of one failure domain who brings which chunk there from other domains, so that links
-// between domains carry each chunk about once for each domain.
+// ImportSchedule ranks the VMs of a failure domain for the import of each chunk from other domains, so that links
+// between domains carry each chunk about once per domain.
 type ImportSchedule struct {
-	place, count int
+	position, count int
 }
 
-// NewImportSchedule makes the share of a VM among the members of its domain. Members with the same list agree.
+// NewImportSchedule returns the schedule of a VM among the members of its domain. VMs with the same member list compute
+// consistent schedules.
 func NewImportSchedule(key string, self Member, members []Member) ImportSchedule {
-	own := []id.VM{self.VM}
+	local := []id.VM{self.VM}
 	for _, m := range members {
 		if m.Domain == self.Domain && m.VM != self.VM {
-			own = append(own, m.VM)
+			local = append(local, m.VM)
 		}
 	}
-	order := rendezvous.Order(key+"/import", own)
-	return ImportSchedule{place: slices.Index(order, self.VM), count: len(order)}
+	order := rendezvous.Order(key+"/import", local)
+	return ImportSchedule{position: slices.Index(order, self.VM), count: len(order)}
 }
 
-// Rank is the VM's place among those that may bring a chunk; rank 0 does so at once.
+// Rank returns the VM's rank among those that may import a chunk; rank 0 imports without delay.
 func (i ImportSchedule) Rank(c id.Chunk) int {
 	if i.count == 0 {
 		return 0
 	}
-	return (i.place + int(c)) % i.count
+	return (i.position + int(c)) % i.count
 }
 
-// Allowed says whether the VM may take a chunk from another domain that it has known of for a time.
+// Allowed reports whether the VM may import a chunk that it has known for the given time to be held in another domain.
 func (i ImportSchedule) Allowed(c id.Chunk, known time.Duration) bool {
 	return known >= time.Duration(i.Rank(c))*ImportRankDelay
 }
--- a/internal/swarm/import_test.go
+++ b/internal/swarm/import_test.go
@@ -13,7 +13,7 @@
 )
 
 var _ = Describe("the import of a chunk into a failure domain", func() {
-	It("is one VM's at once, each VM's share about the same, and everybody's in the end", func() {
+	It("is allowed to exactly one VM without delay, and to every VM in the end", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			n := rapid.IntRange(1, 12).Draw(t, "VMs")
 			var l []Member
@@ -28,67 +28,67 @@
 					first++
 				}
 				if !m.Allowed(chunk, ImportRankDelay*12) {
-					t.Fatalf("VM %s may never bring chunk %d", l[i].VM, chunk)
+					t.Fatalf("VM %s may never import chunk %d", l[i].VM, chunk)
 				}
 			}
 			if first != 1 {
-				t.Fatalf("%d VMs bring chunk %d at once", first, chunk)
+				t.Fatalf("%d VMs import chunk %d without delay", first, chunk)
 			}
 		})
 	})
 
-	It("is not asked of a far neighbour while a near one holds the chunk, or before the VM's turn", func() {
-		far, near := &Peer{VM: "far", Remote: true, Has: NewSet(2)}, &Peer{VM: "near", Has: NewSet(2)}
-		far.Has.Add(0)
-		far.Has.Add(1)
-		near.Has.Add(1)
+	It("is not requested from a remote neighbour while a local one holds the chunk, or before the VM may import it", func() {
+		remote, local := &Peer{VM: "far", Remote: true, Has: NewSet(2)}, &Peer{VM: "near", Has: NewSet(2)}
+		remote.Has.Add(0)
+		remote.Has.Add(1)
+		local.Has.Add(1)
 		v := &View{
-			Chunks: 2, Have: NewSet(2), InFlight: map[id.Chunk]int{}, Peers: []*Peer{far, near}, Rarity: []int{1, 2},
+			Chunks: 2, Have: NewSet(2), InFlight: map[id.Chunk]int{}, Peers: []*Peer{remote, local}, Rarity: []int{1, 2},
 			Limits: Limits{PerPeer: 2, Total: 4}, MayImport: func(id.Chunk) bool { return false },
 		}
 		r := rand.New(rand.NewPCG(1, 1))
 		c, p := PickPeer(v, r)
-		Expect(p).To(Equal(near))
+		Expect(p).To(Equal(local))
 		Expect(c).To(Equal(id.Chunk(1)))
 		v.MayImport = func(id.Chunk) bool { return true }
 		c, p = PickPeer(v, r)
-		Expect(p).To(Equal(far))
+		Expect(p).To(Equal(remote))
 		Expect(c).To(Equal(id.Chunk(0)))
 	})
 
-	It("is drawn again by the lane's next VM where neighbours hold it for long without handing it on", func() {
-		known := time.Second
+	It("is fetched from the origin again by the lane's next VM if neighbours hold it for long without sending it", func() {
+		knownFor := time.Second
 		v := &View{
 			Chunks: 2, Have: NewSet(2), InFlight: map[id.Chunk]int{0: 1}, Rarity: []int{1, 0},
-			KnownFor: func(id.Chunk) time.Duration { return known },
+			KnownFor: func(id.Chunk) time.Duration { return knownFor },
 		}
 		l := NewLanes("k", []Member{{VM: "a", Domain: "d"}})
 		_, ok := PickStalledChunk(v, l, 0, 1)
 		Expect(ok).To(BeFalse())
-		known = stuckStep
+		knownFor = stalledRankDelay
 		c, ok := PickStalledChunk(v, l, 0, 1)
 		Expect(ok).To(BeTrue())
 		Expect(c).To(Equal(id.Chunk(0)))
 		_, ok = PickStalledChunk(v, l, 0, 2)
-		Expect(ok).To(BeFalse(), "each further rank waits once more")
+		Expect(ok).To(BeFalse(), "each higher rank waits one more delay")
 		_, ok = PickStalledChunk(v, l, 0, 0)
-		Expect(ok).To(BeTrue(), "the first rank may have started anew and lost what it drew")
+		Expect(ok).To(BeTrue(), "rank 0 may have restarted and lost what it fetched")
 		_, ok = PickStalledChunk(v, l, 0, -1)
-		Expect(ok).To(BeFalse(), "a VM that is no member draws nothing")
-		known = stuckStepIdle
+		Expect(ok).To(BeFalse(), "a VM that is not a member fetches nothing")
+		knownFor = stalledRankDelayIdle
 		_, ok = PickStalledChunk(v, l, 0, 1)
-		Expect(ok).To(BeFalse(), "the source is still needed for chunk 1")
+		Expect(ok).To(BeFalse(), "the origin has yet to send chunk 1")
 		v.Rarity[1] = 1
 		_, ok = PickStalledChunk(v, l, 0, 1)
 		Expect(ok).To(BeTrue())
 		v.Rarity[1] = 0
-		known = 10 * stuckStep
+		knownFor = 10 * stalledRankDelay
 		v.Have.Add(0)
 		_, ok = PickStalledChunk(v, l, 0, 2)
-		Expect(ok).To(BeFalse(), "what nobody holds is drawn by rank and patience")
+		Expect(ok).To(BeFalse(), "a chunk that no VM holds is fetched by rank and takeover delay")
 	})
 
-	It("is drawn from a lane's end by a VM that helps out", func() {
+	It("is fetched from a lane's end by a VM of a higher rank", func() {
 		v := &View{Chunks: 9, Have: NewSet(9), InFlight: map[id.Chunk]int{}, Rarity: make([]int, 9)}
 		l := NewLanes("k", []Member{{VM: "a", Domain: "d"}})
 		c, _ := PickOriginChunk(v, l, 0, 0)
--- a/internal/swarm/lane.go
+++ b/internal/swarm/lane.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// minLanes is the fewest VMs that draw from the origin at one time, where there are as many. Each drawer's link has
-	// to carry its chunks to all its neighbours: with 3 drawers those links bound a burst over 20 VMs at 4.1 s, with 11
-	// at 3.9 s (bound 2.6 s), and 64 VMs took 1.28 and 1.27 of the bound, with 1.29 and 1.01 origin copies.
+	// minLanes is the minimum number of VMs that fetch from the origin at the same time, unless there are fewer VMs. The
+	// link of each has to carry its chunks to all its neighbours: with 3 of them those links limited a distribution to
+	// 20 VMs to 4.1 s, with 11 to 3.9 s (lower bound 2.6 s). With 64 VMs both took about the same, 1.28 and 1.27 times
+	// the lower bound, with 1.29 and 1.01 origin copies.
 	minLanes = 11
-	// defaultCopiesTime and defaultCopiesBytes are the origin budgets where a rollout sets none. The reserve beyond
-	// the first copy is drawn only after a drawer has stalled or a domain has been cut off.
+	// defaultCopiesTime and defaultCopiesBytes are the origin budgets, in copies of a version, of rollouts that set
+	// none. Copies beyond the first are fetched only after a VM has stalled or a failure domain was cut off.
 	defaultCopiesTime  = 3
 	defaultCopiesBytes = 2
 )
 
-// Lanes shares the drawing of a version from the origin: the chunks of a lane are drawn by the lane's first VM, in
-// order, and by the next one once the lane has stalled.
+// Lanes divides the chunks of a version into lanes and ranks the VMs of each lane. The VM of rank 0 fetches the lane's
+// chunks from the origin in order; the next rank takes over once the lane makes no progress.
 type Lanes struct {
 	order []id.VM
-	lanes int
+	count int
 }
 
 // Member is a VM that should hold a version.
@@ -33,7 +34,7 @@
 	Domain id.Domain
 }
 
-// NewLanes shares a version's chunks among its members. Members with the same list make the same lanes.
+// NewLanes returns the lanes of a version among its members. VMs with the same member list compute the same lanes.
 func NewLanes(key string, members []Member) Lanes {
 	byDomain := map[id.Domain][]id.VM{}
 	var domains []id.VM
@@ -46,7 +47,7 @@
 	for d, l := range byDomain {
 		byDomain[d] = rendezvous.Order(key, l)
 	}
-	l := Lanes{lanes: laneCount(len(domains), len(members))}
+	l := Lanes{count: laneCount(len(domains), len(members))}
 	domains = rendezvous.Order(key, domains)
 	for i := 0; len(l.order) < len(members); i++ {
 		for _, d := range domains {
@@ -58,7 +59,8 @@
 	return l
 }
 
-// laneCount has no divisor in common with the number of domains, so that a lane's next VM is in another domain.
+// laneCount returns a number of lanes that is coprime to the number of failure domains, so that consecutive ranks of a
+// lane are in different domains.
 func laneCount(domains, members int) int {
 	n := minLanes
 	for gcd(n, domains) > 1 {
@@ -74,54 +76,54 @@
 	return a
 }
 
-// Lane is the lane of a chunk.
+// Lane returns the lane of a chunk.
 func (l Lanes) Lane(c id.Chunk) int {
-	return int(c) % l.lanes
+	return int(c) % l.count
 }
 
-// Count is the number of lanes.
+// Count returns the number of lanes.
 func (l Lanes) Count() int {
-	return l.lanes
+	return l.count
 }
 
-// Ranks returns a VM's rank in each lane; rank 0 draws first. Every member has a rank in every lane, so that a lane
-// goes on whoever is left: first those whose place falls to the lane, which stand in turn in different domains, then
-// the others. A VM that is not a member has no ranks.
+// Ranks returns a VM's rank in each lane, or nil for a VM that is not a member. Every member has a rank in every lane,
+// so that a lane continues whichever members remain: the lowest ranks go to the members assigned to the lane, in
+// alternating failure domains, then to all others.
 func (l Lanes) Ranks(v id.VM) []int {
 	p := slices.Index(l.order, v)
 	if p < 0 {
 		return nil
 	}
-	ranks := make([]int, l.lanes)
+	ranks := make([]int, l.count)
 	for lane := range ranks {
 		ranks[lane] = l.rank(lane, p)
 	}
 	return ranks
 }
 
-func (l Lanes) rank(lane, place int) int {
-	if place%l.lanes == lane {
-		return place / l.lanes
+func (l Lanes) rank(lane, position int) int {
+	if position%l.count == lane {
+		return position / l.count
 	}
-	before := (len(l.order) - lane + l.lanes - 1) / l.lanes
-	for q := range place {
-		if q%l.lanes != lane {
-			before++
+	assigned := (len(l.order) - lane + l.count - 1) / l.count
+	for q := range position {
+		if q%l.count != lane {
+			assigned++
 		}
 	}
-	return before
+	return assigned
 }
 
-// lagSlack is the number of chunks by which lanes may differ without one being behind.
+// lagSlack is the number of chunks by which lanes may differ before one counts as lagging.
 const lagSlack = 3
 
-// Lagging says whether a lane has brought less than half of the best lane's chunks. Its drawer is alive but slow, and
-// the next one has to help.
+// Lagging reports whether a lane has delivered less than half the chunks of the best lane. Its fetching VM is then alive
+// but slow, and the next rank has to help.
 func Lagging(counts []int, lane int) bool {
 	return 2*counts[lane]+lagSlack < slices.Max(counts)
 }
 
-// OriginCopyBudget is the most that all VMs together may draw from the origin, in copies.
+// OriginCopyBudget returns how many copies of a rollout's version all VMs together may fetch from the origin.
 func OriginCopyBudget(r *pb.Rollout) float64 {
 	switch {
 	case r.GetOriginCopies() > 0:
@@ -133,12 +135,12 @@
 	}
 }
 
-// MayFetchFromOrigin says whether a VM of a rank may draw from a lane whose last new chunk was seen at a time. Rank 0 may at
-// once; each further rank waits for the patience once more. Ranks beyond the budget never may, so that with one list
-// of members the origin gives each chunk at most as many times as the budget has copies.
-func MayFetchFromOrigin(rank int, copies float64, lastNew time.Time, patience time.Duration, now time.Time) bool {
+// MayFetchFromOrigin reports whether the VM of a rank may fetch from a lane whose last new chunk was seen at the given
+// time. Rank 0 may at once; each higher rank waits for one more takeover delay. Ranks beyond the budget never may: with
+// one member list, the origin sends each chunk at most as often as the budget has copies.
+func MayFetchFromOrigin(rank int, copies float64, lastNew time.Time, takeoverDelay time.Duration, now time.Time) bool {
 	if rank < 0 || rank >= max(1, int(copies)) {
 		return false
 	}
-	return rank == 0 || now.Sub(lastNew) >= time.Duration(rank)*patience
+	return rank == 0 || now.Sub(lastNew) >= time.Duration(rank)*takeoverDelay
 }
--- a/internal/swarm/neighbour.go
+++ b/internal/swarm/neighbour.go
@@ -7,29 +7,29 @@
 	"github.com/springrail/springrail/internal/rendezvous"
 )
 
-// farNeighbours is the number of neighbours in other failure domains.
-const farNeighbours = 2
+// remoteNeighbours is the number of neighbours in other failure domains.
+const remoteNeighbours = 2
 
-// Neighbours returns the members whose chunks a VM takes, at most near of its own domain and farNeighbours beyond.
-// Members of a domain stand on a ring in rendezvous order, and a VM takes those at distances 1, 2, 4 and so on, so
-// that each VM is taken by as many as it takes, and any chunk is a logarithm of the ring's size away. One more ring
-// goes through all members: it leaves no VM or domain without a way to every other.
-func Neighbours(key string, self Member, members []Member, near int) []id.VM {
-	var own, far, all []id.VM
+// Neighbours returns the members that a VM fetches chunks from, at most maxLocal in its failure domain and
+// remoteNeighbours in others. The members of a domain form a ring in rendezvous order, and a VM fetches from those at
+// distances 1, 2, 4 and so on. Each VM thus serves as many as it fetches from, and the number of hops to any chunk is
+// logarithmic in the ring's size. A second ring connects all members, so that every VM and domain can reach every other.
+func Neighbours(key string, self Member, members []Member, maxLocal int) []id.VM {
+	var local, remote, all []id.VM
 	for _, m := range members {
 		all = append(all, m.VM)
 		if m.Domain == self.Domain {
-			own = append(own, m.VM)
+			local = append(local, m.VM)
 		} else {
-			far = append(far, m.VM)
+			remote = append(remote, m.VM)
 		}
 	}
-	l := ringNeighbours(rendezvous.Order(key, own), self.VM, near)
-	beyond := ringNeighbours(rendezvous.Order(key+"/all", all), self.VM, 1)
-	beyond = append(beyond, rendezvous.Order(key+string(self.VM), far)...)
+	l := ringNeighbours(rendezvous.Order(key, local), self.VM, maxLocal)
+	candidates := ringNeighbours(rendezvous.Order(key+"/all", all), self.VM, 1)
+	candidates = append(candidates, rendezvous.Order(key+string(self.VM), remote)...)
 	added := 0
-	for _, v := range beyond {
-		if added < farNeighbours && !slices.Contains(l, v) {
+	for _, v := range candidates {
+		if added < remoteNeighbours && !slices.Contains(l, v) {
 			l = append(l, v)
 			added++
 		}
--- a/internal/swarm/pick.go
+++ b/internal/swarm/pick.go
@@ -7,50 +7,53 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// Peer is what a VM knows of one neighbour.
+// Peer is the state of one neighbour as this VM knows it.
 type Peer struct {
 	VM id.VM
-	// Remote is true in another failure domain.
+	// Remote is true if the neighbour is in another failure domain.
 	Remote bool
-	// Has holds the chunks that the neighbour has said it holds.
+	// Has is the set of chunks that the neighbour has announced.
 	Has *Set
-	// InFlight is the number of transfers from it.
+	// InFlight is the number of transfers in progress from the neighbour.
 	InFlight int
-	// RetryAt is when it may be asked again after it was busy, failed or served a corrupt chunk.
+	// RetryAt is when the neighbour may be used again after it was busy, failed or sent a corrupt chunk.
 	RetryAt time.Time
-	// Failures counts failures that have not yet faded.
+	// Failures counts recent failures; deliveries halve it.
 	Failures int
 }
 
-// Limits bound the transfers of one VM.
+// Limits bounds the concurrent transfers of one VM.
 type Limits struct {
-	// PerPeer is the number of transfers at one time from one neighbour.
+	// PerPeer is the maximum number of concurrent transfers from one neighbour.
 	PerPeer int
-	// Total is the number of transfers at one time from all neighbours.
+	// Total is the maximum number of concurrent transfers from all neighbours.
 	Total int
-	// EndgameChunks is the number of missing chunks below which one may be asked of a second neighbour.
+	// EndgameChunks is the number of missing chunks from which on a chunk in transfer may also be requested from a
+	// second neighbour.
 	EndgameChunks int
 }
 
-// View is what a VM knows of one version when it decides.
+// View is the state of a version's transfer on which a VM bases its decisions.
 type View struct {
 	Now    time.Time
 	Chunks int
 	Have   *Set
-	// InFlight is the number of transfers of a chunk under way.
+	// InFlight is the number of transfers in progress by chunk.
 	InFlight map[id.Chunk]int
 	Peers    []*Peer
-	// Rarity is the number of neighbours that hold a chunk.
+	// Rarity is the number of neighbours that hold each chunk.
 	Rarity []int
-	// MayImport says whether a chunk may be taken from another failure domain now; nil allows all.
+	// MayImport reports whether a chunk may be fetched from another failure domain now; nil allows all chunks.
 	MayImport func(c id.Chunk) bool
-	// KnownFor is how long a neighbour has been known to hold a chunk that this VM lacks; nil knows of none.
+	// KnownFor returns for how long a neighbour has been known to hold a chunk that this VM lacks; nil means that no
+	// such times are known.
 	KnownFor func(c id.Chunk) time.Duration
 	Limits   Limits
 }
 
-// PickPeer chooses the next chunk and the neighbour to take it from: the rarest that a free neighbour holds, ties
-// broken at random, from the neighbour with the fewest transfers. It returns nil when there is none.
+// PickPeer returns the next chunk and the neighbour to fetch it from: the rarest chunk that an available neighbour
+// holds, ties broken at random, from the neighbour with the fewest transfers. It returns a nil neighbour if there is
+// none.
 func PickPeer(v *View, r *rand.Rand) (id.Chunk, *Peer) {
 	free := freePeers(v)
 	if len(free) == 0 {
@@ -86,14 +89,14 @@
 // rarest returns the missing chunk with exactly inFlight transfers that the fewest neighbours hold.
 func rarest(v *View, free []*Peer, r *rand.Rand, inFlight int) (id.Chunk, bool) {
 	var best id.Chunk
-	found, ties := 0, 0
+	lowest, ties := 0, 0
 	v.Have.Missing(v.Chunks, func(c id.Chunk) bool {
 		n := v.Rarity[c]
-		if n == 0 || v.InFlight[c] != inFlight || (found > 0 && n > found) || !anyGives(v, free, c) {
+		if n == 0 || v.InFlight[c] != inFlight || (lowest > 0 && n > lowest) || !anyCanServe(v, free, c) {
 			return true
 		}
-		if n < found || found == 0 {
-			best, found, ties = c, n, 1
+		if n < lowest || lowest == 0 {
+			best, lowest, ties = c, n, 1
 			return true
 		}
 		ties++
@@ -102,20 +105,20 @@
 		}
 		return true
 	})
-	return best, found > 0
+	return best, lowest > 0
 }
 
-// gives says whether a neighbour may be asked for a chunk. One in another failure domain is left alone while the chunk
-// is to be had in the own domain, or is another VM's to bring there.
-func (v *View) gives(p *Peer, c id.Chunk) bool {
+// canServe reports whether a chunk may be requested from a neighbour. A neighbour in another failure domain is not used
+// while the chunk is available in this VM's domain or another VM has to import it.
+func (v *View) canServe(p *Peer, c id.Chunk) bool {
 	if !p.Has.Has(c) {
 		return false
 	}
-	return !p.Remote || v.MayImport == nil || (v.MayImport(c) && !v.near(c))
+	return !p.Remote || v.MayImport == nil || (v.MayImport(c) && !v.heldLocally(c))
 }
 
-// near says whether a neighbour of the own failure domain holds a chunk.
-func (v *View) near(c id.Chunk) bool {
+// heldLocally reports whether a neighbour in this VM's failure domain holds a chunk.
+func (v *View) heldLocally(c id.Chunk) bool {
 	for _, p := range v.Peers {
 		if !p.Remote && p.Has.Has(c) {
 			return true
@@ -124,9 +127,9 @@
 	return false
 }
 
-func anyGives(v *View, peers []*Peer, c id.Chunk) bool {
+func anyCanServe(v *View, peers []*Peer, c id.Chunk) bool {
 	for _, p := range peers {
-		if v.gives(p, c) {
+		if v.canServe(p, c) {
 			return true
 		}
 	}
@@ -137,7 +140,7 @@
 	var best *Peer
 	ties := 0
 	for _, p := range peers {
-		if !v.gives(p, c) {
+		if !v.canServe(p, c) {
 			continue
 		}
 		switch {
@@ -153,9 +156,9 @@
 	return best
 }
 
-// PickOriginChunk chooses the lane's next chunk that no neighbour holds. The lane's first VM draws in order, so that the
-// origin's link carries few chunks at a time and the first ones are soon in the swarm. A VM that helps out draws from the
-// end: the first one may be slow rather than dead, and what it draws next is not drawn twice.
+// PickOriginChunk returns the lane's next chunk to fetch from the origin, one that no neighbour holds. The VM of rank 0
+// fetches in order, so that the origin's link carries few chunks at a time and the first ones spread early. A VM of a
+// higher rank starts from the end: rank 0 may only be slow, and its next chunks should not be fetched twice.
 func PickOriginChunk(v *View, l Lanes, lane, rank int) (id.Chunk, bool) {
 	var next id.Chunk
 	ok := false
@@ -169,36 +172,37 @@
 }
 
 const (
-	// stuckStep is how long each further rank of a lane lets a chunk lie with neighbours that do not hand it on before it
-	// draws the chunk itself. In a burst over the users' links a chunk reaches half of the VMs within 1.1 s of its draw.
-	stuckStep = 1200 * time.Millisecond
-	// stuckStepIdle is the same once all chunks have been drawn, when the source's link is free.
-	stuckStepIdle = 500 * time.Millisecond
+	// stalledRankDelay is how long, per rank, neighbours may hold a chunk without sending it before a VM of the lane
+	// fetches it from the origin. On typical links a chunk reaches half of the VMs within 1.1 s of its fetch.
+	stalledRankDelay = 1200 * time.Millisecond
+	// stalledRankDelayIdle replaces stalledRankDelay once all chunks have been fetched from the origin and its link is
+	// free.
+	stalledRankDelayIdle = 500 * time.Millisecond
 )
 
-// PickStalledChunk chooses a chunk of the lane that neighbours have held for long without this VM getting it: its drawer's link
-// may carry little, while the source's is free. The lane's first VM has what it drew, unless it has started anew since; then
-// it waits no longer than the second.
+// PickStalledChunk returns a chunk of the lane that neighbours have held for long without this VM receiving it: the link
+// of the VM that fetched it may be slow while the origin's is free. Rank 0 holds what it fetched unless it has restarted
+// since; it then waits as long as rank 1.
 func PickStalledChunk(v *View, l Lanes, lane, rank int) (id.Chunk, bool) {
 	var next id.Chunk
 	ok := false
 	if rank < 0 || v.KnownFor == nil {
 		return next, ok
 	}
-	step := stuckStepIdle
-	if v.undrawn() {
-		step = stuckStep
+	delay := stalledRankDelayIdle
+	if v.anyUnfetched() {
+		delay = stalledRankDelay
 	}
 	v.Have.Missing(v.Chunks, func(c id.Chunk) bool {
-		ok = l.Lane(c) == lane && v.Rarity[c] > 0 && v.KnownFor(c) >= time.Duration(max(1, rank))*step
+		ok = l.Lane(c) == lane && v.Rarity[c] > 0 && v.KnownFor(c) >= time.Duration(max(1, rank))*delay
 		next = c
 		return !ok
 	})
 	return next, ok
 }
 
-// undrawn says whether there is a chunk that nobody is known to hold.
-func (v *View) undrawn() bool {
+// anyUnfetched reports whether there is a chunk that no known VM holds.
+func (v *View) anyUnfetched() bool {
 	found := false
 	v.Have.Missing(v.Chunks, func(c id.Chunk) bool {
 		found = v.Rarity[c] == 0
@@ -208,15 +212,15 @@
 }
 
 const (
-	// blameBase is how long a neighbour is left alone after its first failure.
-	blameBase = 250 * time.Millisecond
-	// blameMost bounds that.
-	blameMost = 30 * time.Second
-	// corruptFailures is how many failures a corrupt chunk counts as.
+	// backoffBase is the backoff after a neighbour's first failure.
+	backoffBase = 250 * time.Millisecond
+	// maxBackoff bounds the exponential backoff.
+	maxBackoff = 30 * time.Second
+	// corruptFailures is the number of failures that a corrupt chunk counts as.
 	corruptFailures = 6
 )
 
-// Outcome is how a transfer ended.
+// Outcome is the result of a transfer.
 type Outcome int
 
 // The outcomes of a transfer.
@@ -227,7 +231,8 @@
 	Corrupt
 )
 
-// RecordOutcome updates a neighbour after a transfer. A delivered chunk halves its blame.
+// RecordOutcome updates a neighbour's failure count and backoff after a transfer. A delivered chunk halves the failure
+// count.
 func (p *Peer) RecordOutcome(o Outcome, now time.Time, busyRetry time.Duration) {
 	switch o {
 	case Delivered:
@@ -236,17 +241,17 @@
 		p.RetryAt = now.Add(busyRetry)
 	case Failed:
 		p.Failures++
-		p.RetryAt = now.Add(blame(p.Failures))
+		p.RetryAt = now.Add(backoff(p.Failures))
 	case Corrupt:
 		p.Failures += corruptFailures
-		p.RetryAt = now.Add(blame(p.Failures))
+		p.RetryAt = now.Add(backoff(p.Failures))
 	}
 }
 
-func blame(failures int) time.Duration {
-	d := blameBase
+func backoff(failures int) time.Duration {
+	d := backoffBase
 	for range failures - 1 {
-		d = min(2*d, blameMost)
+		d = min(2*d, maxBackoff)
 	}
 	return d
 }
--- a/internal/swarm/set.go
+++ b/internal/swarm/set.go
@@ -1,5 +1,5 @@
-// Package swarm decides who draws which chunk from where. It is pure: it opens no socket, starts no goroutine and
-// takes the time and its random source as arguments.
+// Package swarm decides which chunks a VM fetches from which neighbour or from the origin. It has no side effects: it
+// opens no sockets, starts no goroutines, and receives the time and its source of randomness as arguments.
 package swarm
 
 import (
@@ -8,23 +8,23 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// Set is a set of chunks.
+// Set is a bit set of chunk numbers.
 type Set struct {
 	words []uint64
 	count int
 }
 
-// NewSet makes an empty set that holds up to n chunks.
+// NewSet returns an empty set for chunk numbers below n.
 func NewSet(n int) *Set {
 	return &Set{words: make([]uint64, (n+63)/64)}
 }
 
-// Has says whether a chunk is in the set.
+// Has reports whether a chunk is in the set.
 func (s *Set) Has(c id.Chunk) bool {
 	return s.words[c/64]&(1<<(c%64)) != 0
 }
 
-// Add puts a chunk into the set and says whether it is new.
+// Add adds a chunk to the set and reports whether it was missing.
 func (s *Set) Add(c id.Chunk) bool {
 	if s.Has(c) {
 		return false
@@ -34,7 +34,7 @@
 	return true
 }
 
-// Len is the number of chunks in the set.
+// Len returns the number of chunks in the set.
 func (s *Set) Len() int {
 	return s.count
 }
--- a/internal/swarm/swarm_test.go
+++ b/internal/swarm/swarm_test.go
@@ -28,7 +28,7 @@
 }
 
 var _ = Describe("lanes", func() {
-	It("give every lane each rank exactly once, whoever looks", func() {
+	It("assign each rank of a lane exactly once, consistently on all VMs", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			members := drawMembers(t)
 			l := NewLanes("key", members)
@@ -53,7 +53,7 @@
 		})
 	})
 
-	It("let no more VMs draw than the budget has copies, and always one", func() {
+	It("let at least one VM and at most as many as the budget has copies fetch from the origin", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			members := drawMembers(t)
 			l := NewLanes("key", members)
@@ -67,13 +67,13 @@
 					}
 				}
 				if n < 1 || n > max(1, int(copies)) {
-					t.Fatalf("%d VMs may draw with a budget of %.2f copies", n, copies)
+					t.Fatalf("%d VMs may fetch with a budget of %.2f copies", n, copies)
 				}
 			}
 		})
 	})
 
-	It("put a lane's first two VMs in different domains where there are two", func() {
+	It("put ranks 0 and 1 of a lane in different failure domains if there are several", func() {
 		for domains := 2; domains <= 9; domains++ {
 			var members []Member
 			for i := range 30 {
@@ -123,70 +123,70 @@
 	})
 })
 
-// world is a swarm without sockets: each step moves one chunk as the decisions say.
-type world struct {
+// simulation is a swarm without sockets: each step moves one chunk according to the decisions.
+type simulation struct {
 	chunks  int
 	members []Member
 	have    map[id.VM]*Set
-	drawn   map[id.Chunk]int
+	fetched map[id.Chunk]int
 }
 
 var _ = Describe("the swarm", func() {
-	It("completes every VM that can reach a holder of each chunk, within the origin budget, through losses", func() {
+	It("completes every VM within the origin budget despite lost transfers", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			w := &world{
+			sim := &simulation{
 				chunks: rapid.IntRange(1, 24).Draw(t, "chunks"), members: drawMembers(t), have: map[id.VM]*Set{},
-				drawn: map[id.Chunk]int{},
+				fetched: map[id.Chunk]int{},
 			}
-			w.members = w.members[:min(12, len(w.members))]
+			sim.members = sim.members[:min(12, len(sim.members))]
 			copies := float64(rapid.IntRange(1, 3).Draw(t, "copies"))
 			random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-			for _, m := range w.members {
-				w.have[m.VM] = NewSet(w.chunks)
+			for _, m := range sim.members {
+				sim.have[m.VM] = NewSet(sim.chunks)
 			}
-			lanes := NewLanes("key", w.members)
-			for step := 0; step < 4000 && !w.done(); step++ {
-				m := w.members[random.IntN(len(w.members))]
-				w.step(m, lanes, copies, random, random.IntN(4) == 0)
+			lanes := NewLanes("key", sim.members)
+			for step := 0; step < 4000 && !sim.done(); step++ {
+				m := sim.members[random.IntN(len(sim.members))]
+				sim.step(m, lanes, copies, random, random.IntN(4) == 0)
 			}
-			if !w.done() {
+			if !sim.done() {
 				t.Fatalf("not complete")
 			}
-			for c, n := range w.drawn {
+			for c, n := range sim.fetched {
 				if n > int(copies) {
-					t.Fatalf("chunk %d was drawn %d times with a budget of %.0f", c, n, copies)
+					t.Fatalf("chunk %d was fetched %d times with a budget of %.0f", c, n, copies)
 				}
 			}
 		})
 	})
 })
 
-func (w *world) done() bool {
-	for _, m := range w.members {
-		if w.have[m.VM].Len() < w.chunks {
+func (sim *simulation) done() bool {
+	for _, m := range sim.members {
+		if sim.have[m.VM].Len() < sim.chunks {
 			return false
 		}
 	}
 	return true
 }
 
-// step lets one VM decide once; a lost transfer brings nothing.
-func (w *world) step(m Member, lanes Lanes, copies float64, r *rand.Rand, lost bool) {
+// step lets one VM decide once; a lost transfer delivers nothing.
+func (sim *simulation) step(m Member, lanes Lanes, copies float64, r *rand.Rand, lost bool) {
 	v := &View{
-		Now: time.Time{}.Add(time.Hour), Chunks: w.chunks, Have: w.have[m.VM], InFlight: map[id.Chunk]int{},
-		Rarity: make([]int, w.chunks), Limits: Limits{PerPeer: 1, Total: 1},
+		Now: time.Time{}.Add(time.Hour), Chunks: sim.chunks, Have: sim.have[m.VM], InFlight: map[id.Chunk]int{},
+		Rarity: make([]int, sim.chunks), Limits: Limits{PerPeer: 1, Total: 1},
 	}
-	for _, n := range Neighbours("key", m, w.members, 4) {
-		v.Peers = append(v.Peers, &Peer{VM: n, Has: w.have[n]})
-		for c := range w.chunks {
-			if w.have[n].Has(id.Chunk(c)) {
+	for _, n := range Neighbours("key", m, sim.members, 4) {
+		v.Peers = append(v.Peers, &Peer{VM: n, Has: sim.have[n]})
+		for c := range sim.chunks {
+			if sim.have[n].Has(id.Chunk(c)) {
 				v.Rarity[c]++
 			}
 		}
 	}
 	if c, p := PickPeer(v, r); p != nil {
 		if !p.Has.Has(c) || v.Have.Has(c) {
-			panic("a chunk that the neighbour lacks or the VM holds")
+			panic("picked a chunk that the neighbour lacks or the VM holds")
 		}
 		if !lost {
 			v.Have.Add(c)
@@ -195,15 +195,15 @@
 	}
 	for lane, rank := range lanes.Ranks(m.VM) {
 		if c, ok := PickOriginChunk(v, lanes, lane, rank); ok && MayFetchFromOrigin(rank, copies, time.Time{}, time.Second, v.Now) {
-			w.drawn[c]++
+			sim.fetched[c]++
 			v.Have.Add(c)
 			return
 		}
 	}
 }
 
-var _ = Describe("blame", func() {
-	It("keeps away from a neighbour that served a corrupt chunk for longer than from one that failed, and fades", func() {
+var _ = Describe("the backoff of a neighbour", func() {
+	It("is longer after a corrupt chunk than after a failure, and is reduced by deliveries", func() {
 		now := time.Time{}.Add(time.Hour)
 		failed, corrupt := &Peer{}, &Peer{}
 		failed.RecordOutcome(Failed, now, time.Second)
@@ -220,7 +220,7 @@
 })
 
 var _ = Describe("a lane", func() {
-	DescribeTable("lags when its drawer is much slower than the best one", func(lags bool, counts ...int) {
+	DescribeTable("lags if its fetching VM is much slower than that of the best lane", func(lags bool, counts ...int) {
 		Expect(Lagging(counts, 0)).To(Equal(lags))
 	},
 		Entry("at the start", false, 0, 0, 0), Entry("a little behind", false, 0, 3, 2), Entry("half", false, 10, 20, 18),
