--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,4 +1,4 @@
-// Package engine meets the model engine beside an agent. No other package knows its wire form.
+// Package engine is the client of the model engine beside an agent. No other package knows its wire format.
 package engine
 
 import (
@@ -16,42 +16,42 @@
 )
 
 var (
-	// ErrUnreachable says that the engine gave no answer.
-	ErrUnreachable = errors.New("the engine gives no answer")
-	// ErrStaleFence says that the engine has obeyed a later order.
-	ErrStaleFence = errors.New("the engine has obeyed a later order")
+	// ErrUnreachable means that the engine did not respond or responded with an error.
+	ErrUnreachable = errors.New("no successful response from the engine")
+	// ErrStaleFence means that the engine has already accepted an order with a higher fence.
+	ErrStaleFence = errors.New("the engine has accepted an order with a higher fence")
 )
 
-// LoadStatus is where the engine stands with a model.
+// LoadStatus is the load status of a model in an engine.
 type LoadStatus string
 
-// The states of a model in an engine.
+// The load statuses of a model.
 const (
 	StatusLoading LoadStatus = "loading"
 	StatusReady   LoadStatus = "ready"
 	StatusFailed  LoadStatus = "failed"
 )
 
-// ModelState is a model that the engine holds or is loading.
+// ModelState is the state of a model that the engine holds or loads.
 type ModelState struct {
 	Organisation id.Organisation `json:"organisation"`
 	Model        id.Model        `json:"model"`
 	Version      id.Version      `json:"version"`
 	Fence        id.Fence        `json:"fence"`
 	Status       LoadStatus      `json:"status"`
-	// ManifestSHA256 is the hash, in hex, of the manifest that the loaded bytes were checked against.
+	// ManifestSHA256 is the hex-encoded hash of the manifest that the loaded bytes were verified against.
 	ManifestSHA256 string `json:"manifest_sha256"`
 	Reason         string `json:"reason"`
 }
 
-// Load is how busy the engine is; the report lags.
+// Load is the engine's reported load, which lags behind the actual one.
 type Load struct {
 	Running  int `json:"running"`
 	Queued   int `json:"queued"`
 	Capacity int `json:"capacity"`
 }
 
-// State is what an engine says of itself.
+// State is the state that an engine reports.
 type State struct {
 	// BootID changes with each start of the engine.
 	BootID string       `json:"boot"`
@@ -60,7 +60,7 @@
 	Load   Load         `json:"load"`
 }
 
-// FindModel returns the engine's entry for a model.
+// FindModel returns the state of a model in the engine, and whether it is present.
 func (s State) FindModel(o id.Organisation, m id.Model) (ModelState, bool) {
 	for _, l := range s.Models {
 		if l.Organisation == o && l.Model == m {
@@ -70,7 +70,8 @@
 	return ModelState{}, false
 }
 
-// Order tells an engine to load a version. An engine that checks fences refuses one that is lower than the last.
+// Order makes an engine load a version. An engine that checks fencing tokens refuses an order whose fence is lower than
+// that of the last one.
 type Order struct {
 	Organisation   id.Organisation `json:"organisation"`
 	Model          id.Model        `json:"model"`
@@ -78,12 +79,12 @@
 	Version        id.Version      `json:"version"`
 	Fence          id.Fence        `json:"fence"`
 	ManifestSHA256 string          `json:"manifest_sha256"`
-	// ManifestURL and ContentURL are on the agent, which is on the same VM.
+	// ManifestURL and ContentURL are served by the agent, which runs on the same VM.
 	ManifestURL string `json:"manifest_url"`
 	ContentURL  string `json:"content_url"`
 }
 
-// RoleOrder is a fenced order to change what an engine does, for example "prefill" or "decode".
+// RoleOrder makes an engine change its role, for example to "prefill" or "decode"; it is fenced like Order.
 type RoleOrder struct {
 	Name  string   `json:"name"`
 	Fence id.Fence `json:"fence"`
@@ -91,50 +92,50 @@
 
 // Engine is the client of one engine.
 type Engine struct {
-	base   string
-	client *http.Client
-	once   *http.Client
+	baseURL string
+	client  *http.Client
+	noReuse *http.Client
 }
 
-// New makes a client of the upstream at a base URL that keeps a number of connections.
-func New(base string, conns int) *Engine {
+// New returns a client of the engine at a base URL that keeps up to maxIdleConns idle connections.
+func New(baseURL string, maxIdleConns int) *Engine {
 	return &Engine{
-		base:   base,
-		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: conns, DisableCompression: true}},
-		// Go's transport sends a request with an Idempotency-Key again by itself when a connection that it has used
-		// before breaks, also after the upstream has run it. On a new connection it never does.
-		once: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}},
+		baseURL: baseURL,
+		client:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true}},
+		// Go's transport resends a request with an Idempotency-Key if a reused connection breaks, even if the upstream
+		// has already run it. It never does so on a new connection.
+		noReuse: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}},
 	}
 }
 
-// answerTimeout bounds the calls that ask or order; requests have the caller's deadline.
-const answerTimeout = 3 * time.Second
+// adminTimeout bounds calls that read state or send orders; forwarded requests have the caller's deadline.
+const adminTimeout = 3 * time.Second
 
-// State asks the engine for its state.
+// State requests the engine's state.
 func (e *Engine) State(ctx context.Context) (State, error) {
 	var s State
-	err := e.admin(ctx, http.MethodGet, "/admin/state", nil, &s)
+	err := e.callAdmin(ctx, http.MethodGet, "/admin/state", nil, &s)
 	return s, err
 }
 
-// Load gives an order; the engine carries it out after its answer.
+// Load sends an order; the engine carries it out after its response.
 func (e *Engine) Load(ctx context.Context, o Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return trace.Wrap(err)
 	}
-	return e.admin(ctx, http.MethodPost, "/admin/load", body, nil)
+	return e.callAdmin(ctx, http.MethodPost, "/admin/load", body, nil)
 }
 
-// Healthy asks a plain service whether it is up.
+// Healthy reports whether a plain service passes its health check.
 func (e *Engine) Healthy(ctx context.Context) bool {
-	return e.admin(ctx, http.MethodGet, "/healthz", nil, nil) == nil
+	return e.callAdmin(ctx, http.MethodGet, "/healthz", nil, nil) == nil
 }
 
-func (e *Engine) admin(ctx context.Context, method, path string, body []byte, into any) error {
-	ctx, stop := context.WithTimeout(ctx, answerTimeout)
+func (e *Engine) callAdmin(ctx context.Context, method, path string, body []byte, result any) error {
+	ctx, stop := context.WithTimeout(ctx, adminTimeout)
 	defer stop()
-	r, err := http.NewRequestWithContext(ctx, method, e.base+path, bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, method, e.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -149,17 +150,16 @@
 	case a.StatusCode >= http.StatusMultipleChoices:
 		text, _ := io.ReadAll(io.LimitReader(a.Body, 512))
 		return trace.Wrap(ErrUnreachable, "status %d: %s", a.StatusCode, text)
-	case into == nil:
+	case result == nil:
 		return nil
 	}
-	return trace.Wrap(json.NewDecoder(a.Body).Decode(into))
+	return trace.Wrap(json.NewDecoder(a.Body).Decode(result))
 }
 
-// Send passes a request to the upstream, at most once unless it is repeatable. A connection that could not be made is
-// ErrUnreachable: nothing was sent.
-func (e *Engine) Send(r *http.Request, repeatable bool) (*http.Response, error) {
-	c := e.once
-	if repeatable {
+// Send forwards a request to the engine, at most once unless it is retryable.
+func (e *Engine) Send(r *http.Request, retryable bool) (*http.Response, error) {
+	c := e.noReuse
+	if retryable {
 		c = e.client
 	}
 	a, err := c.Do(r)
@@ -169,7 +169,7 @@
 	return a, nil
 }
 
-// URL is the upstream's address for a path.
+// URL returns the engine's URL of a path.
 func (e *Engine) URL(path string) string {
-	return e.base + path
+	return e.baseURL + path
 }
