--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds the operators' configuration for requests that are passed on by route: which host and path
-// lead to which pool, who may call, and what each pool is like. A Catalog does not change once it is made.
+// Package catalog holds the operators' routing configuration: which host and path lead to which pool, which callers are
+// allowed, and the properties of each pool. A Catalog is immutable.
 package catalog
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// Kind says what may be done again with a request.
+// Kind classifies requests by whether they may be retried.
 type Kind uint8
 
 // The kinds of requests.
@@ -19,90 +19,91 @@
 	Unsafe Kind = iota
 	// Safe requests may run more than once.
 	Safe
-	// Streaming requests answer with a series of events; they run at most once unless their route is resumable.
+	// Streaming requests are answered by a stream of events; they run at most once unless their route is resumable.
 	Streaming
 )
 
-// Share is a pool with its part of a route's requests.
+// Share is the weight of a pool in a route's traffic split.
 type Share struct {
 	Pool   id.Pool
 	Weight int
 }
 
-// Route leads the requests of one host below one path to pools.
+// Route maps the requests of a host and path prefix to pools.
 type Route struct {
 	Name       id.Route
 	Host       string
 	PathPrefix string
 	Kind       Kind
-	// Timeout is the longest time that a request may be held.
+	// Timeout bounds the total time of a request.
 	Timeout time.Duration
-	// LatencyTarget is the time to the answer, or to a stream's first event, within which it has its full worth.
+	// LatencyTarget is the time to the response, or to a stream's first event, up to which a request has its full value.
 	LatencyTarget time.Duration
-	// GapTarget is the longest pause between two events of a stream that is still in time.
+	// GapTarget is the longest pause between two events of a stream that still counts as on time.
 	GapTarget time.Duration
-	// Priority ranks routes; 0 comes first.
+	// Priority ranks routes; 0 is the highest.
 	Priority int
 	Shares   []Share
-	// MaxAttempts is the largest number of upstreams that one request may be sent to.
+	// MaxAttempts is the maximum number of upstreams that one request is sent to.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool
-	// Resumable streams may be continued by another upstream after the last whole event.
+	// Resumable streams may be continued by another upstream after the last complete event.
 	Resumable bool
 }
 
-// Idempotent says whether a request may run more than once.
+// Idempotent reports whether a request may run more than once.
 func (r *Route) Idempotent() bool {
 	return r.Kind == Safe || (r.Kind == Streaming && r.Resumable)
 }
 
-// Engine is what the model engines of a pool are like.
+// Engine describes the model engines of a pool.
 type Engine struct {
-	// Slots is the number of requests that run at once.
+	// Slots is the number of requests that run concurrently.
 	Slots int
-	// StepTime is the time of a token step, and StepTimePerRequest what each running request adds to it.
+	// StepTime is the duration of one decoding step, and StepTimePerRequest the time that each running request adds to
+	// it.
 	StepTime, StepTimePerRequest time.Duration
-	// StepTimePer1kContext is what 1,000 tokens of context of a running request add to a step.
+	// StepTimePer1kContext is the time that 1,000 tokens of context of a running request add to a step.
 	StepTimePer1kContext time.Duration
-	// PrefillTokensPerSecond is the number of prompt tokens read in a second.
+	// PrefillTokensPerSecond is the number of prompt tokens processed per second.
 	PrefillTokensPerSecond float64
-	// MaxPrefillTokens is the most prompt tokens that one pass reads.
+	// MaxPrefillTokens is the maximum number of prompt tokens processed in one pass.
 	MaxPrefillTokens int
-	// StepsPerPass is the number of token steps in a pass.
+	// StepsPerPass is the number of decoding steps in a pass.
 	StepsPerPass int
-	// MeanPromptTokens and MeanAnswerTokens are the mean tokens of a request.
+	// MeanPromptTokens and MeanAnswerTokens are the mean token counts of a request.
 	MeanPromptTokens, MeanAnswerTokens float64
-	// ContextTokens is the number of tokens of context that fit into the memory beside the weights.
+	// ContextTokens is the number of context tokens that fit into memory beside the weights.
 	ContextTokens float64
-	// Layers, Chunks and ChunkBytes are the shape of a model's weights.
+	// Layers, Chunks and ChunkBytes describe the size of a model's weights.
 	Layers, Chunks int
 	ChunkBytes     int
-	// LoadTime is how long an engine takes to load a whole model.
+	// LoadTime is the time that an engine takes to load a complete model.
 	LoadTime time.Duration
 	Models   []id.Model
 }
 
-// Service is a pool of upstreams, or a place that weights come from.
+// Service is a pool of upstreams, or an origin of weights.
 type Service struct {
 	Name id.Pool
-	// MaxConnections is what one upstream takes from all callers together.
+	// MaxConnections is the maximum number of connections that one upstream accepts from all callers together.
 	MaxConnections int
-	// Engine is set for model engines.
+	// Engine is set for pools of model engines.
 	Engine *Engine
-	// Origin is the address of a service that gives weights; such a service has no upstreams.
+	// Origin is the address of an origin of weights; such a service has no upstreams.
 	Origin string
 }
 
-// Organisation is one user of the shared service.
+// Organisation is an organisation that uses the shared service.
 type Organisation struct {
 	Name id.Organisation
 	Keys []string
-	// Priority ranks organisations; 0 comes first.
+	// Priority ranks organisations; 0 is the highest.
 	Priority int
 }
 
-// Limits bound what a caller may send.
+// Limits bounds what a caller may send.
 type Limits struct {
 	HeaderBytes, BodyBytes     int
 	HeaderTimeout, IdleTimeout time.Duration
@@ -110,20 +111,20 @@
 
 // Catalog is one revision of the configuration.
 type Catalog struct {
-	Revision      uint64
-	Services      map[id.Pool]*Service
-	Limits        Limits
-	Organisations int
-	byHost        map[string][]*Route
-	byKey         map[string]*Organisation
-	aims          map[id.Pool]time.Duration
+	Revision       uint64
+	Services       map[id.Pool]*Service
+	Limits         Limits
+	Organisations  int
+	byHost         map[string][]*Route
+	byKey          map[string]*Organisation
+	latencyTargets map[id.Pool]time.Duration
 }
 
-// New indexes a configuration. Routes of one host are tried longest prefix first.
+// New indexes a configuration so that the routes of a host are tried by descending prefix length.
 func New(revision uint64, routes []*Route, services []*Service, orgs []*Organisation, l Limits) *Catalog {
 	c := &Catalog{
 		Revision: revision, Services: map[id.Pool]*Service{}, Limits: l, Organisations: len(orgs),
-		byHost: map[string][]*Route{}, byKey: map[string]*Organisation{}, aims: map[id.Pool]time.Duration{},
+		byHost: map[string][]*Route{}, byKey: map[string]*Organisation{}, latencyTargets: map[id.Pool]time.Duration{},
 	}
 	for _, s := range services {
 		c.Services[s.Name] = s
@@ -132,8 +133,8 @@
 		h := normalHost(r.Host)
 		c.byHost[h] = append(c.byHost[h], r)
 		for _, p := range r.Shares {
-			if old, ok := c.aims[p.Pool]; r.LatencyTarget > 0 && (!ok || r.LatencyTarget < old) {
-				c.aims[p.Pool] = r.LatencyTarget
+			if shortest, ok := c.latencyTargets[p.Pool]; r.LatencyTarget > 0 && (!ok || r.LatencyTarget < shortest) {
+				c.latencyTargets[p.Pool] = r.LatencyTarget
 			}
 		}
 	}
@@ -148,7 +149,7 @@
 	return c
 }
 
-// normalHost drops the port and the case of a host name.
+// normalHost removes the port from a host name and lower-cases it.
 func normalHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -156,7 +157,7 @@
 	return strings.ToLower(host)
 }
 
-// Match returns the route of a host and path with the longest prefix, or nil.
+// Match returns the route with the longest prefix for a host and path, or nil.
 func (c *Catalog) Match(host, path string) *Route {
 	for _, r := range c.byHost[normalHost(host)] {
 		if strings.HasPrefix(path, r.PathPrefix) {
@@ -166,18 +167,19 @@
 	return nil
 }
 
-// Organisation returns the holder of a caller's key, or nil.
+// Organisation returns the organisation that a caller's key belongs to, or nil.
 func (c *Catalog) Organisation(key string) *Organisation {
 	return c.byKey[key]
 }
 
-// LatencyTarget is the shortest aim of a pool's routes. All requests for the pool are let in by it: by its own, the route with the
-// longest aim would fill the queue and leave the others none.
+// LatencyTarget returns the shortest latency target of the routes to a pool. Admission control applies it to all
+// requests for the pool: with targets by route, the route with the longest one would fill the queue and leave no room
+// for the others.
 func (c *Catalog) LatencyTarget(p id.Pool) time.Duration {
-	return c.aims[p]
+	return c.latencyTargets[p]
 }
 
-// Origin returns the address that weights come from, or nothing.
+// Origin returns the address of the origin of weights, or an empty string if there is none.
 func (c *Catalog) Origin() string {
 	for _, s := range c.Services {
 		if s.Origin != "" {
@@ -187,18 +189,18 @@
 	return ""
 }
 
-// Pick chooses the pool of a request by the shares of its route; point is in [0, 1).
+// Pick returns the pool of a request by the weights of its route; point is uniform in [0, 1).
 func (r *Route) Pick(point float64) id.Pool {
 	total := 0
 	for _, s := range r.Shares {
 		total += s.Weight
 	}
-	at := int(point * float64(total))
+	remaining := int(point * float64(total))
 	for _, s := range r.Shares {
-		if at < s.Weight {
+		if remaining < s.Weight {
 			return s.Pool
 		}
-		at -= s.Weight
+		remaining -= s.Weight
 	}
 	if len(r.Shares) == 0 {
 		return ""
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -43,14 +43,14 @@
 		})
 	})
 
-	It("knows the holder of a key and nobody for another", func() {
+	It("finds the organisation of a key and none for an unknown key", func() {
 		c := New(1, nil, nil, []*Organisation{{Name: "gym", Keys: []string{"k1", "k2"}}}, Limits{})
 		Expect(c.Organisation("k2").Name).To(Equal(id.Organisation("gym")))
 		Expect(c.Organisation("k3")).To(BeNil())
 		Expect(c.Organisation("")).To(BeNil())
 	})
 
-	It("lets requests for a pool in by the shortest aim of its routes", func() {
+	It("uses the shortest latency target of the routes to a pool", func() {
 		share := []Share{{Pool: "a", Weight: 1}}
 		c := New(1, []*Route{{LatencyTarget: 500, Shares: share}, {LatencyTarget: 400, Shares: share}, {Shares: share}}, nil, nil, Limits{})
 		Expect(c.LatencyTarget("a")).To(Equal(time.Duration(400)))
@@ -67,7 +67,7 @@
 		Expect((&Route{}).Pick(0.5)).To(BeEmpty())
 	})
 
-	DescribeTable("says what may run twice", func(k Kind, resumable, want bool) {
+	DescribeTable("reports which requests may run more than once", func(k Kind, resumable, want bool) {
 		Expect((&Route{Kind: k, Resumable: resumable}).Idempotent()).To(Equal(want))
 	}, Entry("unsafe", Unsafe, false, false), Entry("safe", Safe, false, true),
 		Entry("stream", Streaming, false, false), Entry("resumable stream", Streaming, true, true))
