--- a/internal/transfer/download_test.go
+++ b/internal/transfer/download_test.go
@@ -28,24 +28,24 @@
 	spec.Run(t, "Transfers")
 }
 
-// testChunk is the size of a chunk in bytes.
-const testChunk = 1024
+// testChunkBytes is the size of a chunk.
+const testChunkBytes = 1024
 
-var errGone = errors.New("gone")
+var errUnavailable = errors.New("unavailable")
 
-// source is an origin whose answers a test can change.
-type source struct {
+// fakeSource is an origin whose responses a test can change.
+type fakeSource struct {
 	content, raw []byte
 	rollout      *pb.Rollout
 	mu           sync.Mutex
-	drawn        int64
+	fetchedBytes int64
 	damage       func(n int64) bool
 }
 
-func newSource(chunks int) *source {
-	s := &source{content: make([]byte, chunks*testChunk), damage: func(int64) bool { return false }}
+func newFakeSource(chunks int) *fakeSource {
+	s := &fakeSource{content: make([]byte, chunks*testChunkBytes), damage: func(int64) bool { return false }}
 	_, _ = rand.NewChaCha8([32]byte{7}).Read(s.content)
-	m, err := manifest.New(bytes.NewReader(s.content), testChunk)
+	m, err := manifest.New(bytes.NewReader(s.content), testChunkBytes)
 	Expect(err).NotTo(HaveOccurred())
 	s.raw, err = manifest.Encode(m)
 	Expect(err).NotTo(HaveOccurred())
@@ -56,30 +56,31 @@
 	return s
 }
 
-func (s *source) draw(_ context.Context, _ *pb.Rollout, object string, from, length int64) (SourceData, error) {
+func (s *fakeSource) fetchFromSource(_ context.Context, _ *pb.Rollout, object string, from, length int64) (SourceData, error) {
 	if object == objectManifest {
 		return SourceData{Data: s.raw}, nil
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drawn += length
+	s.fetchedBytes += length
 	data := bytes.Clone(s.content[from : from+length])
-	if s.damage(s.drawn / length) {
+	if s.damage(s.fetchedBytes / length) {
 		data[0] ^= 0xff
 	}
 	return SourceData{Data: data, OriginBytes: length}, nil
 }
 
-// download makes a download on VM "self" of a swarm with others that never answer, unless links change that.
-func download(s *source, others int, change func(l *Transport)) *Download {
+// newTestDownload returns a download of VM "self" in a swarm with other VMs that never respond, unless change replaces
+// their transport.
+func newTestDownload(s *fakeSource, others int, change func(l *Transport)) *Download {
 	settings := NewSettings()
 	settings.TakeoverDelay = 300 * time.Millisecond
 	h := &kernel.Host{Log: &log.Logger{Level: log.ErrorLevel}, Events: kernel.NewEventRing(kernel.NewClock(time.Now), 64)}
-	m := &Manager{host: h, settings: settings, self: swarm.Member{VM: "self", Domain: "d"}, shelf: NewHoldingStore(1 << 30)}
-	holding, err := m.shelf.Open(s.rollout)
+	m := &Manager{host: h, settings: settings, self: swarm.Member{VM: "self", Domain: "d"}, holdings: NewHoldingStore(1 << 30)}
+	holding, err := m.holdings.Open(s.rollout)
 	Expect(err).NotTo(HaveOccurred())
-	d := NewDownload(m.env(), s.rollout, holding, Transport{})
-	d.links = Transport{
+	d := NewDownload(m.dependencies(), s.rollout, holding, Transport{})
+	d.transport = Transport{
 		Members: func() []Member {
 			l := []Member{{Member: m.self, Address: "self"}}
 			for i := range others {
@@ -87,29 +88,29 @@
 			}
 			return l
 		},
-		FetchChunk:      func(context.Context, string, id.Rollout, id.Chunk, int64) ([]byte, error) { return nil, errGone },
-		FetchManifest:   func(context.Context, string, id.Rollout) ([]byte, error) { return nil, errGone },
-		Have:            func(context.Context, string, *pb.HaveRequest) (*pb.HaveResponse, error) { return nil, errGone },
-		FetchFromSource: s.draw,
+		FetchChunk:      func(context.Context, string, id.Rollout, id.Chunk, int64) ([]byte, error) { return nil, errUnavailable },
+		FetchManifest:   func(context.Context, string, id.Rollout) ([]byte, error) { return nil, errUnavailable },
+		Have:            func(context.Context, string, *pb.HaveRequest) (*pb.HaveResponse, error) { return nil, errUnavailable },
+		FetchFromSource: s.fetchFromSource,
 	}
 	if change != nil {
-		change(&d.links)
+		change(&d.transport)
 	}
 	return d
 }
 
-// finish runs a download for at most a time and says whether it completed.
-func finish(d *Download, most time.Duration) bool {
-	ctx, stop := context.WithTimeout(context.Background(), most)
+// finish runs a download for at most the timeout and reports whether it completed.
+func finish(d *Download, timeout time.Duration) bool {
+	ctx, stop := context.WithTimeout(context.Background(), timeout)
 	defer stop()
 	d.Run(ctx)
 	return d.holding.Complete()
 }
 
 var _ = Describe("a download", func() {
-	It("does not wait for a neighbour that holds chunks and hands none on", func() {
-		s := newSource(8)
-		d := download(s, 1, func(l *Transport) {
+	It("does not wait for a neighbour that holds chunks but sends none", func() {
+		s := newFakeSource(8)
+		d := newTestDownload(s, 1, func(l *Transport) {
 			l.Have = func(ctx context.Context, _ string, q *pb.HaveRequest) (*pb.HaveResponse, error) {
 				if q.GetFrom() > 0 {
 					<-ctx.Done()
@@ -122,49 +123,49 @@
 				return nil, ctx.Err()
 			}
 		})
-		// A silent neighbour is given up after 3 s; this one is not silent.
+		// An unresponsive neighbour is abandoned after 3 s; this one responds to polls.
 		Expect(finish(d, 2800*time.Millisecond)).To(BeTrue())
 	})
 
-	It("draws on after an outage of the source in which it has tried more often than its budget has chunks", func() {
-		s := newSource(8)
+	It("continues after an outage of the source with more failed fetches than its budget has chunks", func() {
+		s := newFakeSource(8)
 		failures := 0
-		d := download(s, 0, func(l *Transport) {
+		d := newTestDownload(s, 0, func(l *Transport) {
 			l.FetchFromSource = func(ctx context.Context, r *pb.Rollout, object string, from, length int64) (SourceData, error) {
 				if object == objectContent && failures < 30 {
 					failures++
-					return SourceData{}, errGone
+					return SourceData{}, errUnavailable
 				}
-				return s.draw(ctx, r, object, from, length)
+				return s.fetchFromSource(ctx, r, object, from, length)
 			}
 		})
 		d.settings.TakeoverDelay = 8 * time.Millisecond
 		Expect(finish(d, 5*time.Second)).To(BeTrue())
 	})
 
-	It("that has taken a lane over goes on without a wait for each chunk", func() {
-		s := newSource(60)
+	It("that has taken over a lane does not wait before each of its chunks", func() {
+		s := newFakeSource(60)
 		started := time.Now()
-		Expect(finish(download(s, 2, nil), 10*time.Second)).To(BeTrue())
-		Expect(time.Since(started)).To(BeNumerically("<", 3*time.Second), "60 chunks at one patience each took 9 s")
+		Expect(finish(newTestDownload(s, 2, nil), 10*time.Second)).To(BeTrue())
+		Expect(time.Since(started)).To(BeNumerically("<", 3*time.Second), "60 chunks at one takeover delay each took 9 s")
 	})
 
-	It("stays within its part of the origin budget, also where the origin is corrupt for good", func() {
-		s := newSource(30)
+	It("stays within its origin budget even if the origin sends only corrupt bytes", func() {
+		s := newFakeSource(30)
 		s.damage = func(int64) bool { return true }
-		d := download(s, 0, nil)
+		d := newTestDownload(s, 0, nil)
 		Expect(finish(d, 2*time.Second)).To(BeFalse())
-		Expect(s.drawn).To(BeNumerically("<=", len(s.content)))
-		Expect(s.drawn).To(BeNumerically("<=", len(s.content)/2), "it slows down long before")
+		Expect(s.fetchedBytes).To(BeNumerically("<=", len(s.content)))
+		Expect(s.fetchedBytes).To(BeNumerically("<=", len(s.content)/2), "backoff limits it well below the budget")
 		held, _ := d.holding.Count()
-		Expect(held).To(BeZero(), "nothing that is corrupt is held")
+		Expect(held).To(BeZero(), "no corrupt chunk is held")
 		Expect(d.Reason()).To(ContainSubstring("other bytes"))
 	})
 
-	It("throws away corrupt chunks of a neighbour, leaves it alone, and completes from the origin", func() {
-		s := newSource(30)
+	It("discards corrupt chunks of a neighbour, avoids it, and completes from the origin", func() {
+		s := newFakeSource(30)
 		asked := 0
-		d := download(s, 1, func(l *Transport) {
+		d := newTestDownload(s, 1, func(l *Transport) {
 			l.Have = func(ctx context.Context, _ string, q *pb.HaveRequest) (*pb.HaveResponse, error) {
 				if q.GetFrom() > 0 {
 					<-ctx.Done()
@@ -187,24 +188,24 @@
 		Expect(asked).To(BeNumerically("<", 10))
 	})
 
-	It("takes the chunks that a held version of the organisation shares, and no other's", func() {
-		s := newSource(10)
-		d := download(s, 0, nil)
+	It("reuses the chunks of the organisation's held versions, and not those of other organisations", func() {
+		s := newFakeSource(10)
+		d := newTestDownload(s, 0, nil)
 		Expect(finish(d, 5*time.Second)).To(BeTrue())
 		again := &pb.Rollout{Id: "again", Organisation: "gym", Version: s.rollout.GetVersion()}
-		h, err := d.shelf.Open(again)
+		h, err := d.holdings.Open(again)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(h.SetManifest(s.raw)).To(Succeed())
-		Expect(d.shelf.CopySharedChunks(h)).To(Equal(10))
-		foreign, err := d.shelf.Open(&pb.Rollout{Id: "foreign", Organisation: "hut", Version: s.rollout.GetVersion()})
+		Expect(d.holdings.CopySharedChunks(h)).To(Equal(10))
+		foreign, err := d.holdings.Open(&pb.Rollout{Id: "foreign", Organisation: "hut", Version: s.rollout.GetVersion()})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(foreign.SetManifest(s.raw)).To(Succeed())
-		Expect(d.shelf.CopySharedChunks(foreign)).To(BeZero())
+		Expect(d.holdings.CopySharedChunks(foreign)).To(BeZero())
 	})
 })
 
-var _ = Describe("a shelf", func() {
-	It("drops ended holdings for room, oldest first, and says when there is none", func() {
+var _ = Describe("a holding store", func() {
+	It("evicts evictable holdings, oldest first, and fails if there is still no room", func() {
 		s := NewHoldingStore(25)
 		open := func(name string) error {
 			_, err := s.Open(&pb.Rollout{Id: name, Version: &pb.Version{TotalBytes: 10, ChunkBytes: 10}})
@@ -236,9 +237,9 @@
 }
 
 var _ = Describe("a slow link", func() {
-	It("gets its chunks, however long each takes, as long as bytes come", func() {
-		s := newSource(4)
-		d := download(s, 1, func(l *Transport) {
+	It("receives its chunks, however long each takes, while bytes arrive", func() {
+		s := newFakeSource(4)
+		d := newTestDownload(s, 1, func(l *Transport) {
 			l.Have = func(ctx context.Context, _ string, q *pb.HaveRequest) (*pb.HaveResponse, error) {
 				if q.GetFrom() > 0 {
 					<-ctx.Done()
@@ -251,58 +252,58 @@
 				select {
 				case <-ctx.Done():
 					return nil, ctx.Err()
-				case <-time.After(2 * stallFloor):
+				case <-time.After(2 * minTransferTimeout):
 					return s.content[int64(c)*size : int64(c+1)*size], nil
 				}
 			}
 			l.FetchFromSource = func(context.Context, *pb.Rollout, string, int64, int64) (SourceData, error) {
-				return SourceData{}, errGone
+				return SourceData{}, errUnavailable
 			}
 		})
 		Expect(finish(d, 10*time.Second)).To(BeTrue())
 		Expect(d.stats.failed.Load()).To(BeZero())
 	})
 
-	It("is given up once nothing comes", func() {
+	It("is abandoned once no bytes arrive", func() {
 		reader, writer := io.Pipe()
 		go func() { _, _ = writer.Write([]byte("abc")) }()
 		started := time.Now()
-		_, err := readSteadily(reader, 10, 50*time.Millisecond)
+		_, err := readWithStallTimeout(reader, 10, 50*time.Millisecond)
 		Expect(err).To(MatchError(ErrPeerFailed))
 		Expect(time.Since(started)).To(BeNumerically("<", time.Second))
 	})
 })
 
-var _ = Describe("what a download has learnt of its VM's link", func() {
-	It("holds for the next one from its first chunk on", func() {
-		s := newSource(4)
-		old, next := download(s, 0, nil), download(s, 0, nil)
-		for _, d := range []*Download{old, next} {
+var _ = Describe("a download's estimate of its VM's link", func() {
+	It("is inherited by the next download", func() {
+		s := newFakeSource(4)
+		previous, next := newTestDownload(s, 0, nil), newTestDownload(s, 0, nil)
+		for _, d := range []*Download{previous, next} {
 			d.settings.MaxQueueDelay = 200 * time.Millisecond
 		}
 		for range linkSamples {
-			old.link.note(time.Second, 1)
+			previous.link.record(time.Second, 1)
 		}
-		old.usual, old.delivered = time.Second, 40
-		Expect(old.LinkTooSlow()).To(BeTrue())
+		previous.meanTransferTime, previous.delivered = time.Second, 40
+		Expect(previous.LinkTooSlow()).To(BeTrue())
 		Expect(next.LinkTooSlow()).To(BeFalse())
-		next.InheritLinkEstimate(old)
+		next.InheritLinkEstimate(previous)
 		Expect(next.LinkTooSlow()).To(BeTrue())
 	})
 
-	It("is not blamed for senders that are slow, and shows a narrow link after a few chunks", func() {
-		d := download(newSource(4), 0, nil)
+	It("ignores slow senders, and detects a slow link after a few chunks", func() {
+		d := newTestDownload(newFakeSource(4), 0, nil)
 		d.settings.MaxQueueDelay = 200 * time.Millisecond
 		const healthy = 40 * time.Millisecond
 		for range 20 {
-			d.link.note(healthy, 1)
-			d.link.note(12*healthy, 1)
-			d.link.note(9*healthy, 1)
-			d.link.note(12*healthy, 1)
+			d.link.record(healthy, 1)
+			d.link.record(12*healthy, 1)
+			d.link.record(9*healthy, 1)
+			d.link.record(12*healthy, 1)
 			Expect(d.LinkTooSlow()).To(BeFalse())
 		}
 		for range linkSamples {
-			d.link.note(8*healthy*2, 2)
+			d.link.record(8*healthy*2, 2)
 		}
 		Expect(d.LinkTooSlow()).To(BeTrue())
 	})
--- a/internal/transfer/draw.go
+++ b/internal/transfer/draw.go
@@ -11,112 +11,114 @@
 	"github.com/springrail/springrail/internal/swarm"
 )
 
-// mayDraw says whether this VM may draw a lane's next chunk from a source now. The caller holds the lock.
-func (d *Download) mayDraw(lane int, now time.Time) bool {
+// mayFetchFromSource reports whether this VM may fetch the next chunk of a lane from a source (the store or the origin)
+// now. A lane is a group of chunks that one VM at a time fetches, see swarm.Lanes. The caller holds the lock.
+func (d *Download) mayFetchFromSource(lane int, now time.Time) bool {
 	rank := d.ranks[lane]
-	if d.narrow() {
-		// Others would get what this VM draws late: it draws only where nobody else does.
+	if d.linkTooSlow() {
+		// Other VMs would receive late what this VM fetches over its slow link, so it takes the last rank of the budget.
 		rank = max(rank, int(swarm.OriginCopyBudget(d.rollout))-1)
 	}
-	return d.canDraw(lane, now) && swarm.MayFetchFromOrigin(rank, swarm.OriginCopyBudget(d.rollout), d.laneSeen[lane], d.patience(), now)
+	return d.sourceFetchAllowed(lane, now) && swarm.MayFetchFromOrigin(rank, swarm.OriginCopyBudget(d.rollout), d.laneProgressAt[lane], d.takeoverDelay(), now)
 }
 
-// canDraw says whether a draw and the lane's budget are free. The caller holds the lock.
-func (d *Download) canDraw(lane int, now time.Time) bool {
-	if d.drawing >= drawsAtOnce || now.Before(d.drawRetry) {
+// sourceFetchAllowed reports whether the number of concurrent source fetches, the backoff and the lane's byte budget
+// permit another fetch. The caller holds the lock.
+func (d *Download) sourceFetchAllowed(lane int, now time.Time) bool {
+	if d.sourceFetches >= maxSourceFetches || now.Before(d.sourceRetryAt) {
 		return false
 	}
-	return d.laneBytes[lane]+d.holding.Size(0) <= d.allowance(lane)
+	return d.laneBytes[lane]+d.holding.Size(0) <= d.laneBudget(lane)
 }
 
-// allowance is this VM's part of the origin budget for a lane in bytes: the lane once.
-func (d *Download) allowance(lane int) int64 {
+// laneBudget returns this VM's origin budget for a lane in bytes: the size of the lane, once.
+func (d *Download) laneBudget(lane int) int64 {
 	lanes := d.lanes.Count()
 	return int64((len(d.rarity)-lane+lanes-1)/lanes) * d.holding.Size(0)
 }
 
-// patience is how long a lane may stand still before its next VM draws. An organisation that saves origin bytes waits
-// longer, as a draw too many costs it more than the time.
-func (d *Download) patience() time.Duration {
-	seen := d.have.Len()
-	for _, n := range d.laneCount {
-		seen = max(seen, n*len(d.laneCount))
+// takeoverDelay returns how long a lane may make no progress before its next VM fetches from the source. Organisations
+// that save origin bytes wait longer, as a redundant fetch costs them more than the delay.
+func (d *Download) takeoverDelay() time.Duration {
+	delivered := d.have.Len()
+	for _, n := range d.laneDelivered {
+		delivered = max(delivered, n*len(d.laneDelivered))
 	}
 	p := d.settings.TakeoverDelay
-	if seen > 0 {
-		usual := time.Since(d.begun) * time.Duration(d.lanes.Count()) / time.Duration(seen)
-		p = min(p, max(leastPatience, usualPatience*usual))
+	if delivered > 0 {
+		interval := time.Since(d.startedAt) * time.Duration(d.lanes.Count()) / time.Duration(delivered)
+		p = min(p, max(minTakeoverDelay, takeoverFactor*interval))
 	}
 	if d.rollout.GetObjective() == pb.Objective_OBJECTIVE_ORIGIN_BYTES {
-		return bytesPatience * p
+		return originBytesDelayFactor * p
 	}
 	return p
 }
 
 const (
-	// usualPatience is how many times the usual time between a lane's chunks it may stand still.
-	usualPatience = 8
-	// leastPatience covers the time that news takes.
-	leastPatience = 300 * time.Millisecond
+	// takeoverFactor is the multiple of the mean time between a lane's chunks after which the lane counts as stalled.
+	takeoverFactor = 8
+	// minTakeoverDelay covers the time that chunk announcements take to arrive.
+	minTakeoverDelay = 300 * time.Millisecond
 )
 
-// bytesPatience multiplies the patience of organisations that save origin bytes.
-const bytesPatience = 3
+// originBytesDelayFactor multiplies the takeover delay of organisations that save origin bytes.
+const originBytesDelayFactor = 3
 
-// draw takes a chunk from the store or the origin.
-func (d *Download) draw(ctx context.Context, c id.Chunk) {
+// fetchFromSource fetches a chunk from the store or the origin.
+func (d *Download) fetchFromSource(ctx context.Context, c id.Chunk) {
 	size := d.holding.Size(c)
 	from := int64(c) * int64(d.rollout.GetVersion().GetChunkBytes())
-	ask, stop := context.WithTimeout(ctx, d.settings.SourceTimeout)
+	fetchCtx, stop := context.WithTimeout(ctx, d.settings.SourceTimeout)
 	defer stop()
-	got, err := d.links.FetchFromSource(ask, d.rollout, objectContent, from, size)
+	got, err := d.transport.FetchFromSource(fetchCtx, d.rollout, objectContent, from, size)
 	d.originBytes.Add(got.OriginBytes)
-	good := err == nil && d.keep(c, got.Data, "the origin")
-	if good {
+	valid := err == nil && d.storeChunk(c, got.Data, "the origin")
+	if valid {
 		d.event(kernel.EventOriginDrawn, fmt.Sprintf("chunk %d", c))
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.drawing--
-	d.release(c)
+	d.sourceFetches--
+	d.releaseChunk(c)
 	switch {
-	case good:
-		d.drawFailures = 0
+	case valid:
+		d.sourceFailures = 0
 		d.reason = "fetching"
 	case ctx.Err() == nil:
-		// What the source did not send does not count: in a long outage failed draws would use up the whole budget.
+		// Only bytes that were sent count: in a long outage, failed fetches would otherwise use up the whole budget.
 		d.refund(d.lanes.Lane(c), size, got.OriginBytes)
-		d.drawFailures++
-		d.drawRetry = time.Now().Add(d.drawPause(err))
-		d.reason = drawReason(err)
+		d.sourceFailures++
+		d.sourceRetryAt = time.Now().Add(d.sourceRetryDelay(err))
+		d.reason = sourceFailureReason(err)
 	}
-	d.poke()
+	d.wakeScheduler()
 }
 
-// refund gives the budget of a lane back for a draw that failed: what was not sent, and spoilt bytes up to once the lane,
-// as the last VM that may draw would else never hold it whole. The caller holds the lock.
+// refund returns a failed fetch to the budget of its lane: all bytes that were not sent, and corrupt bytes up to the
+// size of the lane, as otherwise the last VM that may fetch could never complete it. The caller holds the lock.
 func (d *Download) refund(lane int, size, sent int64) {
-	back := max(0, size-sent)
-	if spoilt := size - back; d.laneSpoilt[lane]+spoilt <= d.allowance(lane) {
-		d.laneSpoilt[lane] += spoilt
-		back = size
+	refunded := max(0, size-sent)
+	if corrupt := size - refunded; d.laneCorruptBytes[lane]+corrupt <= d.laneBudget(lane) {
+		d.laneCorruptBytes[lane] += corrupt
+		refunded = size
 	}
-	d.laneBytes[lane] -= back
+	d.laneBytes[lane] -= refunded
 }
 
-// drawPause is the wait after a draw that failed. Corrupt bytes cost the budget, so it doubles with each in a row; a
-// source without an answer costs nothing and is asked steadily.
-func (d *Download) drawPause(err error) time.Duration {
+// sourceRetryDelay returns the delay after a failed fetch. Corrupt bytes use up the budget, so the delay doubles with
+// each consecutive failure; a source that does not respond uses none and is retried at a fixed interval.
+func (d *Download) sourceRetryDelay(err error) time.Duration {
 	if err != nil {
 		return d.settings.TakeoverDelay / 8
 	}
-	return d.settings.TakeoverDelay / 16 << min(d.drawFailures, maxDoublings)
+	return d.settings.TakeoverDelay / 16 << min(d.sourceFailures, maxDoublings)
 }
 
-// maxDoublings bounds the pause after corrupt draws: 16 times the patience at the most.
+// maxDoublings bounds the delay after corrupt bytes to 16 times the takeover delay.
 const maxDoublings = 8
 
-func drawReason(err error) string {
+func sourceFailureReason(err error) string {
 	if err == nil {
 		return "the origin serves other bytes than the rollout pins"
 	}
--- a/internal/transfer/fetch.go
+++ b/internal/transfer/fetch.go
@@ -14,49 +14,49 @@
 )
 
 const (
-	// haveWait is how long a question for a neighbour's chunks may wait there.
+	// haveWait is the duration of a long poll for a neighbour's chunks.
 	haveWait = time.Second
-	// silentLimit is the number of questions without an answer after which a neighbour counts as dead.
-	silentLimit = 2
-	// manifestPause is the wait before the manifest is asked for again.
-	manifestPause = 50 * time.Millisecond
+	// maxUnanswered is the number of consecutive unanswered requests after which a neighbour counts as unresponsive.
+	maxUnanswered = 2
+	// manifestRetryDelay is the delay before the manifest is requested again.
+	manifestRetryDelay = 50 * time.Millisecond
 )
 
-// listen keeps a neighbour's chunks up to date until the context ends.
-func (d *Download) listen(ctx context.Context, n *neighbour) {
+// pollNeighbour keeps the list of a neighbour's chunks up to date until the context ends.
+func (d *Download) pollNeighbour(ctx context.Context, n *neighbour) {
 	for ctx.Err() == nil {
-		d.stats.questions.Add(1)
-		ask, stop := context.WithTimeout(ctx, haveWait+stallFloor)
-		a, err := d.links.Have(ask, n.address, &pb.HaveRequest{
-			Rollout: d.rollout.GetId(), From: n.from, Epoch: n.epoch, WaitMs: haveWait.Milliseconds(),
+		d.stats.polls.Add(1)
+		requestCtx, stop := context.WithTimeout(ctx, haveWait+minTransferTimeout)
+		a, err := d.transport.Have(requestCtx, n.address, &pb.HaveRequest{
+			Rollout: d.rollout.GetId(), From: n.offset, Epoch: n.epoch, WaitMs: haveWait.Milliseconds(),
 		})
 		stop()
 		switch {
 		case err != nil:
-			d.noteSilent(ctx, n)
-			kernel.Pause(ctx, tick)
+			d.recordUnanswered(ctx, n)
+			kernel.Pause(ctx, scheduleInterval)
 		case a.GetMissing():
-			kernel.Pause(ctx, tick)
+			kernel.Pause(ctx, scheduleInterval)
 		default:
-			d.noteHave(n, a)
-			kernel.Pause(ctx, d.pauseForNews())
+			d.recordHeldChunks(n, a)
+			kernel.Pause(ctx, d.pollDelay())
 		}
 	}
 }
 
-// pauseForNews is the wait before a neighbour is asked again. A VM that has few transfers asks at once, as at the start
-// of a burst each hop's wait would add up over the whole swarm; a busy one has time.
-func (d *Download) pauseForNews() time.Duration {
+// pollDelay returns the delay before the next poll of a neighbour. A VM with few transfers polls at once, as early in a
+// distribution the delays of all hops would add up; a busy one can wait.
+func (d *Download) pollDelay() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.transfers() < d.settings.Downloads/2 {
+	if d.activeTransfers() < d.settings.Downloads/2 {
 		return 0
 	}
 	return d.settings.HaveInterval
 }
 
-// transfers is the number of chunks on their way; the caller holds the lock.
-func (d *Download) transfers() int {
+// activeTransfers returns the number of chunk transfers in progress. The caller holds the lock.
+func (d *Download) activeTransfers() int {
 	n := 0
 	for _, k := range d.inFlight {
 		n += k
@@ -64,52 +64,52 @@
 	return n
 }
 
-func (d *Download) noteSilent(ctx context.Context, n *neighbour) {
+func (d *Download) recordUnanswered(ctx context.Context, n *neighbour) {
 	if ctx.Err() != nil {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.countSilent(n)
+	d.countUnanswered(n)
 }
 
-// countSilent notes a question or a transfer without an answer; the caller holds the lock.
-func (d *Download) countSilent(n *neighbour) {
-	n.silent++
-	if n.silent == silentLimit {
-		d.dead[n.VM] = time.Now()
+// countUnanswered records an unanswered poll or transfer. The caller holds the lock.
+func (d *Download) countUnanswered(n *neighbour) {
+	n.unanswered++
+	if n.unanswered == maxUnanswered {
+		d.unresponsiveAt[n.VM] = time.Now()
 		select {
-		case d.renew <- struct{}{}:
+		case d.refreshNow <- struct{}{}:
 		default:
 		}
 	}
 }
 
-func (d *Download) noteHave(n *neighbour, a *pb.HaveResponse) {
+func (d *Download) recordHeldChunks(n *neighbour, a *pb.HaveResponse) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	n.silent = 0
+	n.unanswered = 0
 	if d.neighbours[n.VM] != n {
 		return
 	}
 	if a.GetEpoch() != n.epoch {
-		d.forget(n)
+		d.resetNeighbour(n)
 	}
-	n.epoch, n.from = a.GetEpoch(), a.GetNext()
+	n.epoch, n.offset = a.GetEpoch(), a.GetNext()
 	for _, c := range a.GetChunks() {
 		if int(c) < len(d.rarity) && n.Has.Add(id.Chunk(c)) {
-			d.noteSeen(id.Chunk(c))
+			d.recordArrival(id.Chunk(c))
 			if d.rarity[c] == 0 {
-				d.seen[c] = time.Now()
+				d.firstHeldAt[c] = time.Now()
 			}
 			d.rarity[c]++
 		}
 	}
-	d.poke()
+	d.wakeScheduler()
 }
 
-// forget drops what a neighbour said before it started anew.
-func (d *Download) forget(n *neighbour) {
+// resetNeighbour discards the chunk list that a neighbour announced before it restarted.
+func (d *Download) resetNeighbour(n *neighbour) {
 	for c := range d.rarity {
 		if n.Has.Has(id.Chunk(c)) {
 			d.rarity[c]--
@@ -118,28 +118,29 @@
 	n.Has = swarm.NewSet(len(d.rarity))
 }
 
-// noteSeen notes that a chunk's lane moves, if the chunk is new to this VM. What this VM draws itself does not count: a
-// VM that has taken a lane over goes on until somebody else moves it.
-func (d *Download) noteSeen(c id.Chunk) {
+// recordArrival records progress of a chunk's lane if the chunk is new to this VM. This VM's fetches do not count: a VM
+// that has taken over a lane continues until another VM makes progress on it.
+func (d *Download) recordArrival(c id.Chunk) {
 	if d.rarity[c] == 0 && !d.have.Has(c) {
-		d.moved(d.lanes.Lane(c))
+		d.recordLaneProgress(d.lanes.Lane(c))
 	}
 }
 
-// moved notes that others have brought a new chunk of a lane, unless the lane lags behind the others.
-func (d *Download) moved(lane int) {
-	d.laneCount[lane]++
-	if !swarm.Lagging(d.laneCount, lane) {
-		d.laneSeen[lane] = time.Now()
+// recordLaneProgress records that other VMs have fetched a new chunk of a lane. It does not reset the stall timer of a
+// lane that lags behind the others.
+func (d *Download) recordLaneProgress(lane int) {
+	d.laneDelivered[lane]++
+	if !swarm.Lagging(d.laneDelivered, lane) {
+		d.laneProgressAt[lane] = time.Now()
 	}
 }
 
-// fetch takes a chunk from a neighbour.
-func (d *Download) fetch(ctx context.Context, n *neighbour, c id.Chunk) {
+// fetchChunk fetches a chunk from a neighbour.
+func (d *Download) fetchChunk(ctx context.Context, n *neighbour, c id.Chunk) {
 	start := time.Now()
-	ask, stop := context.WithTimeout(ctx, d.patienceForTransfer())
+	requestCtx, stop := context.WithTimeout(ctx, d.transferTimeout())
 	defer stop()
-	data, err := d.links.FetchChunk(ask, n.address, id.Rollout(d.rollout.GetId()), c, d.holding.Size(c))
+	data, err := d.transport.FetchChunk(requestCtx, n.address, id.Rollout(d.rollout.GetId()), c, d.holding.Size(c))
 	o := swarm.Delivered
 	switch {
 	case errors.Is(err, ErrBusy):
@@ -147,75 +148,76 @@
 	case err != nil:
 		o = swarm.Failed
 		if ctx.Err() == nil {
-			// A second transfer of a chunk ends with the download that asked for it, through no fault of anybody's.
+			// A redundant transfer of a chunk is cancelled at the end of the download, which is not a failure of the
+			// neighbour.
 			d.stats.failed.Add(1)
 		}
 		d.stats.broken.Add(int64(len(data)))
 	default:
 		d.stats.received.Add(int64(len(data)))
-		if !d.keep(c, data, string(n.VM)) {
+		if !d.storeChunk(c, data, string(n.VM)) {
 			o = swarm.Corrupt
 		}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	sharing := d.transfers()
+	sharing := d.activeTransfers()
 	n.InFlight--
-	d.release(c)
+	d.releaseChunk(c)
 	if ctx.Err() == nil {
 		n.RecordOutcome(o, time.Now(), d.settings.BusyRetry)
 	}
 	switch o {
 	case swarm.Delivered:
-		n.silent = 0
+		n.unanswered = 0
 		d.delivered++
-		d.link.note(time.Since(start), sharing)
-		d.usual += (time.Since(start) - d.usual) / time.Duration(min(d.delivered, usualOver))
+		d.link.record(time.Since(start), sharing)
+		d.meanTransferTime += (time.Since(start) - d.meanTransferTime) / time.Duration(min(d.delivered, meanSamples))
 	case swarm.Failed:
-		if errors.Is(ask.Err(), context.DeadlineExceeded) {
-			d.usual += d.usual / 2
-			d.link.note(time.Since(start), sharing)
+		if errors.Is(requestCtx.Err(), context.DeadlineExceeded) {
+			d.meanTransferTime += d.meanTransferTime / 2
+			d.link.record(time.Since(start), sharing)
 		}
 		if ctx.Err() == nil {
-			d.countSilent(n)
+			d.countUnanswered(n)
 		}
 	}
-	d.poke()
+	d.wakeScheduler()
 }
 
-func (d *Download) release(c id.Chunk) {
+func (d *Download) releaseChunk(c id.Chunk) {
 	d.inFlight[c]--
 	if d.inFlight[c] <= 0 {
 		delete(d.inFlight, c)
 	}
 }
 
-// patienceForTransfer is when a transfer counts as too slow, from the usual time of one. Before some have been delivered
-// the usual time is not known, and only a transfer that brings nothing at all is given up (stallAfter): a chunk of a
-// large version takes longer than any fixed time that would serve for small ones.
-func (d *Download) patienceForTransfer() time.Duration {
+// transferTimeout returns the timeout of a transfer, a multiple of the mean transfer time. Until enough chunks have been
+// delivered for a mean, only stallTimeout applies, which cancels transfers that receive nothing: a fixed timeout for
+// small versions would be too short for a chunk of a large one.
+func (d *Download) transferTimeout() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.delivered < usualKnown {
+	if d.delivered < minMeanSamples {
 		return d.settings.SourceTimeout
 	}
-	return max(stallFloor, stallFactor*d.usual)
+	return max(minTransferTimeout, transferTimeoutFactor*d.meanTransferTime)
 }
 
 const (
-	// usualOver is the number of deliveries that the usual time of a chunk is taken over.
-	usualOver = 4
-	// usualKnown is the number of deliveries from which on it is believed.
-	usualKnown = 3
+	// meanSamples is the number of deliveries over which the mean transfer time is averaged.
+	meanSamples = 4
+	// minMeanSamples is the number of deliveries from which on the mean is used.
+	minMeanSamples = 3
 )
 
-// keep verifies and holds a chunk, and says whether it was good.
-func (d *Download) keep(c id.Chunk, data []byte, from string) bool {
+// storeChunk verifies and stores a chunk, and reports whether it was valid.
+func (d *Download) storeChunk(c id.Chunk, data []byte, from string) bool {
 	_, err := d.holding.Add(c, data)
 	if err != nil {
 		d.stats.corrupt.Add(1)
 		d.event(kernel.EventChunkRejected, fmt.Sprintf("chunk %d from %s", c, from))
-		d.log.Warn().Err(err).Str("from", from).Msg("corrupt chunk thrown away")
+		d.log.Warn().Err(err).Str("from", from).Msg("discarded a corrupt chunk")
 		return false
 	}
 	d.mu.Lock()
@@ -224,14 +226,14 @@
 	return true
 }
 
-// objectContent and objectManifest are the objects of a version at the store and the origin.
+// objectContent and objectManifest are the names of a version's objects at the store and the origin.
 const (
 	objectContent  = "content"
 	objectManifest = "manifest"
 )
 
-// fetchManifest brings the manifest: the lanes' first VMs take it from the origin, the others from neighbours and
-// only after their patience from the origin.
+// fetchManifest fetches the manifest: VMs of rank 0 from a source, the others from neighbours and, after their takeover
+// delay, from a source.
 func (d *Download) fetchManifest(ctx context.Context) bool {
 	d.mu.Lock()
 	rank := 0
@@ -242,13 +244,13 @@
 	due := time.Now().Add(time.Duration(rank) * d.settings.TakeoverDelay)
 	for ctx.Err() == nil && d.holding.Manifest() == nil {
 		if rank == 0 || time.Now().After(due) {
-			d.drawManifest(ctx)
+			d.fetchManifestFromSource(ctx)
 		}
 		if d.holding.Manifest() == nil {
-			d.askManifest(ctx)
+			d.requestManifestFromPeers(ctx)
 		}
 		if d.holding.Manifest() == nil {
-			kernel.Pause(ctx, manifestPause)
+			kernel.Pause(ctx, manifestRetryDelay)
 		}
 	}
 	if ctx.Err() != nil {
@@ -258,10 +260,10 @@
 	return true
 }
 
-func (d *Download) drawManifest(ctx context.Context) {
+func (d *Download) fetchManifestFromSource(ctx context.Context) {
 	ctx, stop := context.WithTimeout(ctx, d.settings.SourceTimeout)
 	defer stop()
-	got, err := d.links.FetchFromSource(ctx, d.rollout, objectManifest, 0, -1)
+	got, err := d.transport.FetchFromSource(ctx, d.rollout, objectManifest, 0, -1)
 	if err == nil {
 		err = d.holding.SetManifest(got.Data)
 	}
@@ -275,8 +277,8 @@
 	}
 }
 
-// askManifest asks all neighbours at once and takes the first good answer.
-func (d *Download) askManifest(ctx context.Context) {
+// requestManifestFromPeers requests the manifest from all neighbours at once and uses the first valid response.
+func (d *Download) requestManifestFromPeers(ctx context.Context) {
 	d.mu.Lock()
 	var addresses []string
 	for _, n := range d.neighbours {
@@ -288,7 +290,7 @@
 	answers := make(chan []byte, len(addresses))
 	for _, a := range addresses {
 		go func() {
-			raw, err := d.links.FetchManifest(ctx, a, id.Rollout(d.rollout.GetId()))
+			raw, err := d.transport.FetchManifest(ctx, a, id.Rollout(d.rollout.GetId()))
 			if err != nil {
 				raw = nil
 			}
--- a/internal/transfer/holding.go
+++ b/internal/transfer/holding.go
@@ -1,4 +1,4 @@
-// Package transfer carries out the swarm's decisions: it fetches, verifies, holds and serves chunks.
+// Package transfer carries out the decisions of package swarm: it fetches, verifies, stores and serves chunks.
 package transfer
 
 import (
@@ -17,33 +17,33 @@
 )
 
 var (
-	// ErrCorrupt says that bytes do not match the hash that the rollout pins; they were thrown away.
+	// ErrCorrupt means that bytes do not match the hash that the rollout pins; they are discarded.
 	ErrCorrupt = errors.New("bytes do not match the pinned hash")
-	// ErrIncomplete says that a holding lacks chunks.
+	// ErrIncomplete means that a holding lacks chunks.
 	ErrIncomplete = errors.New("not all chunks are held")
 )
 
-// Holding is what a VM holds of one rollout's version. Only verified bytes get in.
+// Holding stores the chunks that a VM holds of one rollout's version. It accepts only verified bytes.
 type Holding struct {
 	rollout  *pb.Rollout
 	epoch    uint64
 	mu       sync.Mutex
 	manifest *pb.Manifest
-	// raw is the manifest as pinned.
-	raw    []byte
-	chunks [][]byte
-	have   *swarm.Set
-	order  []uint32
-	change chan struct{}
+	// raw is the encoded manifest whose hash is pinned.
+	raw      []byte
+	chunks   [][]byte
+	have     *swarm.Set
+	arrivals []uint32
+	changed  chan struct{}
 }
 
-// NewHolding makes an empty holding. The epoch tells it from an earlier one of the same rollout.
+// NewHolding returns an empty holding. The epoch distinguishes it from earlier holdings of the same rollout.
 func NewHolding(r *pb.Rollout, epoch uint64) *Holding {
-	return &Holding{rollout: r, epoch: epoch, have: swarm.NewSet(0), change: make(chan struct{})}
+	return &Holding{rollout: r, epoch: epoch, have: swarm.NewSet(0), changed: make(chan struct{})}
 }
 
-// SetManifest takes the manifest if it has the hash that the rollout pins and fits its sizes. Where the rollout pins
-// none, the first manifest of the right sizes is the pin from then on.
+// SetManifest stores the manifest if it has the hash that the rollout pins and matches its sizes. If the rollout pins no
+// hash, the first manifest of the right sizes is pinned.
 func (h *Holding) SetManifest(raw []byte) error {
 	m, err := manifest.Decode(raw, h.rollout.GetVersion())
 	if err != nil {
@@ -62,32 +62,32 @@
 }
 
 func (h *Holding) notify() {
-	close(h.change)
-	h.change = make(chan struct{})
+	close(h.changed)
+	h.changed = make(chan struct{})
 }
 
-// Changed returns a channel that closes when the manifest or a chunk arrives.
+// Changed returns a channel that is closed when the manifest or a chunk arrives.
 func (h *Holding) Changed() <-chan struct{} {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.change
+	return h.changed
 }
 
-// Manifest returns the manifest as pinned, or nil.
+// Manifest returns the encoded manifest, or nil before it has arrived.
 func (h *Holding) Manifest() []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.raw
 }
 
-// Size is the length of a chunk in bytes.
+// Size returns the size of a chunk in bytes.
 func (h *Holding) Size(c id.Chunk) int64 {
 	v := h.rollout.GetVersion()
 	start := uint64(c) * v.GetChunkBytes()
 	return int64(min(v.GetChunkBytes(), v.GetTotalBytes()-start))
 }
 
-// Add verifies a chunk and keeps it. It says whether the chunk is new.
+// Add verifies a chunk, stores it and reports whether it is new.
 func (h *Holding) Add(c id.Chunk, data []byte) (bool, error) {
 	sum := sha256.Sum256(data)
 	h.mu.Lock()
@@ -99,12 +99,12 @@
 		return false, nil
 	}
 	h.chunks[c] = data
-	h.order = append(h.order, uint32(c))
+	h.arrivals = append(h.arrivals, uint32(c))
 	h.notify()
 	return true, nil
 }
 
-// Chunk returns a chunk's bytes or nil.
+// Chunk returns the bytes of a chunk, or nil if it is not held.
 func (h *Holding) Chunk(c id.Chunk) []byte {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -114,35 +114,36 @@
 	return h.chunks[c]
 }
 
-// hash returns the pinned hash of a chunk.
-func (h *Holding) hash(c id.Chunk) []byte {
+// chunkHash returns the pinned hash of a chunk.
+func (h *Holding) chunkHash(c id.Chunk) []byte {
 	return h.manifest.GetChunkSha256()[c]
 }
 
-// Count returns the number of chunks held and in all; all is 0 before the manifest is there.
+// Count returns the number of chunks held and the total number, which is 0 before the manifest has arrived.
 func (h *Holding) Count() (held, all int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.have.Len(), len(h.chunks)
 }
 
-// Complete says whether all chunks are held.
+// Complete reports whether all chunks are held.
 func (h *Holding) Complete() bool {
 	held, all := h.Count()
 	return all > 0 && held == all
 }
 
-// AddedSince returns the chunks that were added after the first from, for a neighbour that knows those of an epoch.
+// AddedSince returns the chunks in order of arrival, without the first ones up to the offset from. If the caller's epoch
+// is another one, it returns all chunks.
 func (h *Holding) AddedSince(epoch uint64, from uint32) []uint32 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if epoch != h.epoch || int(from) > len(h.order) {
+	if epoch != h.epoch || int(from) > len(h.arrivals) {
 		from = 0
 	}
-	return h.order[from:]
+	return h.arrivals[from:]
 }
 
-// WriteTo writes the whole content; it is ErrIncomplete while chunks are missing.
+// WriteTo writes the whole content; it fails with ErrIncomplete while chunks are missing.
 func (h *Holding) WriteTo(w io.Writer) (int64, error) {
 	if !h.Complete() {
 		return 0, trace.Wrap(ErrIncomplete)
@@ -158,12 +159,12 @@
 	return n, nil
 }
 
-// epochNow makes an epoch for a new holding.
-func epochNow() uint64 {
+// newEpoch returns an epoch for a new holding.
+func newEpoch() uint64 {
 	return uint64(time.Now().UnixNano())
 }
 
-// Epoch tells this holding from an earlier one of the same rollout.
+// Epoch returns the number that distinguishes this holding from earlier ones of the same rollout.
 func (h *Holding) Epoch() uint64 {
 	return h.epoch
 }
--- a/internal/transfer/links.go
+++ b/internal/transfer/links.go
@@ -19,32 +19,32 @@
 )
 
 var (
-	// ErrBusy says that a neighbour has no free upload slot.
+	// ErrBusy means that a neighbour has no free upload slot.
 	ErrBusy = errors.New("the neighbour is busy")
-	// ErrPeerFailed says that a neighbour did not deliver.
+	// ErrPeerFailed means that a transfer from a neighbour failed.
 	ErrPeerFailed = errors.New("the neighbour did not deliver")
 )
 
-// maxManifest bounds a manifest in bytes.
-const maxManifest = 8 << 20
+// maxManifestBytes bounds the size of a manifest.
+const maxManifestBytes = 8 << 20
 
-// links makes a download's ways to others over the process's internal client and the platform.
-func (m *Manager) links(r *pb.Rollout) Transport {
+// transport returns a download's transport over the internal RPC client and the platform.
+func (m *Manager) transport(r *pb.Rollout) Transport {
 	l := PeerTransport(m.rpc)
 	l.Members = func() []Member { return m.members(r) }
-	l.FetchFromSource = m.draw
+	l.FetchFromSource = m.fetchFromSource
 	return l
 }
 
-// PeerTransport makes a download's ways to its neighbours over the process's internal client; Members and Draw are the
-// caller's to set.
+// PeerTransport returns a transport to neighbours over the internal RPC client; the caller sets Members and
+// FetchFromSource.
 func PeerTransport(s *rpc.Server) Transport {
 	return Transport{
 		FetchChunk: func(ctx context.Context, address string, name id.Rollout, c id.Chunk, size int64) ([]byte, error) {
-			return get(ctx, s, fmt.Sprintf("%s%s%s/%d", s.URL(address), chunkPath, name, c), size, true)
+			return httpGet(ctx, s, fmt.Sprintf("%s%s%s/%d", s.URL(address), chunkPath, name, c), size, true)
 		},
 		FetchManifest: func(ctx context.Context, address string, name id.Rollout) ([]byte, error) {
-			return get(ctx, s, s.URL(address)+manifestPath+string(name), maxManifest, false)
+			return httpGet(ctx, s, s.URL(address)+manifestPath+string(name), maxManifestBytes, false)
 		},
 		Have: func(ctx context.Context, address string, q *pb.HaveRequest) (*pb.HaveResponse, error) {
 			return s.Swarm(address).Have(ctx, q)
@@ -71,8 +71,8 @@
 	return l
 }
 
-// get takes size bytes, or up to size where exact is false.
-func get(ctx context.Context, s *rpc.Server, url string, size int64, exact bool) ([]byte, error) {
+// httpGet fetches a URL and returns exactly size bytes, or up to size bytes if exact is false.
+func httpGet(ctx context.Context, s *rpc.Server, url string, size int64, exact bool) ([]byte, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -85,8 +85,8 @@
 	switch a.StatusCode {
 	case http.StatusOK:
 	case http.StatusServiceUnavailable:
-		// The connection is used again only once the answer is read to its end.
-		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, writeBytes))
+		// The connection is only reused if the response is read to its end.
+		_, _ = io.Copy(io.Discard, io.LimitReader(a.Body, writeSize))
 		return nil, trace.Wrap(ErrBusy)
 	default:
 		return nil, trace.Wrap(ErrPeerFailed, "status %d", a.StatusCode)
@@ -95,21 +95,22 @@
 		data, err := io.ReadAll(io.LimitReader(a.Body, size))
 		return data, trace.Wrap(err)
 	}
-	return readSteadily(a.Body, size, stallAfter)
+	return readWithStallTimeout(a.Body, size, stallTimeout)
 }
 
-// stallAfter is how long a transfer may bring nothing.
-const stallAfter = time.Second
+// stallTimeout is how long a transfer may receive no bytes.
+const stallTimeout = time.Second
 
-// readSteadily reads size bytes and gives up once nothing comes for a time; it returns what it read also then.
-func readSteadily(body io.ReadCloser, size int64, most time.Duration) ([]byte, error) {
-	watchdog := time.AfterFunc(most, func() { _ = body.Close() })
+// readWithStallTimeout reads size bytes and fails if none arrive for the timeout; in that case it returns those that it
+// read.
+func readWithStallTimeout(body io.ReadCloser, size int64, timeout time.Duration) ([]byte, error) {
+	watchdog := time.AfterFunc(timeout, func() { _ = body.Close() })
 	defer watchdog.Stop()
 	data := make([]byte, size)
 	for n := 0; n < len(data); {
 		k, err := body.Read(data[n:])
 		n += k
-		watchdog.Reset(most)
+		watchdog.Reset(timeout)
 		if err != nil && n < len(data) {
 			return data[:n], trace.Wrap(errors.Join(ErrPeerFailed, err))
 		}
@@ -117,9 +118,9 @@
 	return data, nil
 }
 
-// draw asks the sources in the order of the rollout's objective: an organisation that saves origin bytes asks the
-// store first.
-func (m *Manager) draw(ctx context.Context, r *pb.Rollout, object string, from, length int64) (SourceData, error) {
+// fetchFromSource tries the sources in the order of the rollout's objective: organisations that save origin bytes use
+// the store first.
+func (m *Manager) fetchFromSource(ctx context.Context, r *pb.Rollout, object string, from, length int64) (SourceData, error) {
 	order := []platform.Source{platform.SourceOrigin}
 	if m.platform.HasStore() {
 		order = append(order, platform.SourceStore)
@@ -131,7 +132,7 @@
 	var err error
 	for _, s := range order {
 		var data []byte
-		data, err = m.drawFrom(ctx, s, r.GetVersion().GetSource()+"/"+object, from, length)
+		data, err = m.fetchFrom(ctx, s, r.GetVersion().GetSource()+"/"+object, from, length)
 		if s == platform.SourceOrigin {
 			got.OriginBytes += int64(len(data))
 			m.stats.origin.Add(int64(len(data)))
@@ -146,15 +147,15 @@
 	return got, err
 }
 
-// drawFrom returns what it read also where it fails, so that it can be counted.
-func (m *Manager) drawFrom(ctx context.Context, s platform.Source, path string, from, length int64) ([]byte, error) {
+// fetchFrom also returns the bytes read before a failure, so that they can be counted.
+func (m *Manager) fetchFrom(ctx context.Context, s platform.Source, path string, from, length int64) ([]byte, error) {
 	body, err := m.platform.OpenObject(ctx, s, path, from, length)
 	if err != nil {
 		return nil, err
 	}
 	defer body.Close()
 	if length < 0 {
-		data, err := io.ReadAll(io.LimitReader(body, maxManifest))
+		data, err := io.ReadAll(io.LimitReader(body, maxManifestBytes))
 		return data, trace.Wrap(err)
 	}
 	data := make([]byte, length)
--- a/internal/transfer/part.go
+++ b/internal/transfer/part.go
@@ -19,29 +19,36 @@
 	"github.com/springrail/springrail/internal/swarm"
 )
 
-// PartName is what other parts name in their needs.
+// PartName is the name by which other parts depend on this one.
 const PartName = "swarm"
 
-// Settings is the section [swarm].
+// Settings holds the configuration section [swarm].
 type Settings struct {
+	// Neighbours is the number of neighbours in the same failure domain that chunks are fetched from.
 	Neighbours int `toml:"neighbours"`
-	Uploads    int `toml:"uploads"`
-	Downloads  int `toml:"downloads"`
-	PerPeer    int `toml:"per_peer"`
-	// MemoryBytes caps the memory for chunks.
+	// Uploads and Downloads are the maximum numbers of concurrent chunk transfers to and from neighbours.
+	Uploads   int `toml:"uploads"`
+	Downloads int `toml:"downloads"`
+	// PerPeer is the maximum number of concurrent transfers from one neighbour.
+	PerPeer int `toml:"per_peer"`
+	// MemoryBytes limits the memory for chunks.
 	MemoryBytes int `toml:"memory_bytes"`
-	// UplinkBytesPerSecond paces uploads; 0 does not pace.
-	UplinkBytesPerSecond int           `toml:"uplink_bytes_per_second"`
-	TakeoverDelay        time.Duration `toml:"patience"`
-	HaveInterval         time.Duration `toml:"have_every"`
-	BusyRetry            time.Duration `toml:"busy_retry"`
-	SourceTimeout        time.Duration `toml:"draw_timeout"`
-	// MaxQueueDelay is the longest time that chunks on their way to this VM may hold up a live request on the same link; 0
-	// sets no bound.
+	// UplinkBytesPerSecond limits the rate of uploads; 0 sets no limit.
+	UplinkBytesPerSecond int `toml:"uplink_bytes_per_second"`
+	// TakeoverDelay is how long a lane (see swarm.Lanes) may make no progress before its next VM fetches from the source.
+	TakeoverDelay time.Duration `toml:"patience"`
+	// HaveInterval is the interval at which a busy VM polls its neighbours for the chunks that they hold.
+	HaveInterval time.Duration `toml:"have_every"`
+	// BusyRetry is the delay before a busy neighbour is used again.
+	BusyRetry time.Duration `toml:"busy_retry"`
+	// SourceTimeout bounds one fetch from the store or the origin.
+	SourceTimeout time.Duration `toml:"draw_timeout"`
+	// MaxQueueDelay is the longest time for which chunks on their way to this VM may delay a live request on the same
+	// link; 0 sets no bound.
 	MaxQueueDelay time.Duration `toml:"queue_most"`
 }
 
-// NewSettings returns the defaults.
+// NewSettings returns the default settings.
 func NewSettings() *Settings {
 	return &Settings{
 		Neighbours: 5, Uploads: 4, Downloads: 6, PerPeer: 2, MemoryBytes: 64 << 30,
@@ -52,12 +59,12 @@
 
 // Check implements kernel.Section.
 func (s *Settings) Check(c *kernel.Checker) {
-	small := func(n int) bool { return n >= 1 && n <= 64 }
+	inRange := func(n int) bool { return n >= 1 && n <= 64 }
 	const want = "a whole number from 1 to 64"
-	c.Require(small(s.Neighbours), "neighbours", want)
-	c.Require(small(s.Uploads), "uploads", want)
-	c.Require(small(s.Downloads), "downloads", want)
-	c.Require(small(s.PerPeer), "per_peer", want)
+	c.Require(inRange(s.Neighbours), "neighbours", want)
+	c.Require(inRange(s.Uploads), "uploads", want)
+	c.Require(inRange(s.Downloads), "downloads", want)
+	c.Require(inRange(s.PerPeer), "per_peer", want)
 	c.Require(s.MemoryBytes > 0, "memory_bytes", "a whole number of bytes above 0")
 	c.Require(s.UplinkBytesPerSecond >= 0, "uplink_bytes_per_second", "a whole number of bytes, or 0 for no pacing")
 	c.Require(s.TakeoverDelay >= 10*time.Millisecond, "patience", "a time of at least 10ms")
@@ -80,7 +87,7 @@
 	})
 }
 
-// Manager starts and ends the downloads of a VM as the configuration asks.
+// Manager starts and stops the downloads of a VM according to the configuration.
 type Manager struct {
 	host     *kernel.Host
 	settings *Settings
@@ -89,57 +96,57 @@
 	follower *follow.Follower
 	self     swarm.Member
 	seed     uint64
-	shelf    *HoldingStore
+	holdings *HoldingStore
 	stats    Stats
 
 	mu        sync.Mutex
-	downloads map[id.Rollout]*running
+	downloads map[id.Rollout]*runningDownload
 	change    chan struct{}
 }
 
-// running is a download and its end.
-type running struct {
+// runningDownload is a download and the function that cancels it.
+type runningDownload struct {
 	*Download
 	stop context.CancelFunc
 }
 
-// New makes a manager. The seed fixes the choices between equals.
+// New returns a manager. The seed determines random choices between equivalent options.
 func New(h *kernel.Host, s *Settings, r *rpc.Server, p *platform.Client, f *follow.Follower, seed uint64) *Manager {
 	m := &Manager{
 		host: h, settings: s, rpc: r, platform: p, follower: f, seed: seed,
-		self:  swarm.Member{VM: h.Identity.VM, Domain: h.Identity.Domain},
-		shelf: NewHoldingStore(int64(s.MemoryBytes)), downloads: map[id.Rollout]*running{}, change: make(chan struct{}),
+		self:     swarm.Member{VM: h.Identity.VM, Domain: h.Identity.Domain},
+		holdings: NewHoldingStore(int64(s.MemoryBytes)), downloads: map[id.Rollout]*runningDownload{}, change: make(chan struct{}),
 	}
-	pace := rate.NewLimiter(rate.Inf, writeBytes)
+	pace := rate.NewLimiter(rate.Inf, writeSize)
 	if s.UplinkBytesPerSecond > 0 {
-		pace = rate.NewLimiter(rate.Limit(s.UplinkBytesPerSecond), writeBytes)
+		pace = rate.NewLimiter(rate.Limit(s.UplinkBytesPerSecond), writeSize)
 	}
 	h.Metric("swarm", expvar.Func(func() any { return m.Counters() }))
 	h.Metric("swarm_memory_bytes", expvar.Func(func() any { return m.MemoryUsed() }))
-	u := NewUploads(m.shelf, s.Uploads, pace, &m.stats)
+	u := NewUploads(m.holdings, s.Uploads, pace, &m.stats)
 	u.Register(r.Handle)
 	r.Handle(springrailv1connect.NewSwarmServiceHandler(u))
 	return m
 }
 
-func (m *Manager) env() Dependencies {
+func (m *Manager) dependencies() Dependencies {
 	return Dependencies{
-		Settings: m.settings, Self: m.self, Holdings: m.shelf, Log: m.host.Log, Events: m.host.Events,
+		Settings: m.settings, Self: m.self, Holdings: m.holdings, Log: m.host.Log, Events: m.host.Events,
 		Stats: &m.stats, Seed: m.seed,
 	}
 }
 
-// Counters returns what the transfers have moved.
+// Counters returns the transfer counters of this VM.
 func (m *Manager) Counters() Counters {
 	return m.stats.Read()
 }
 
-// MemoryUsed is the memory reserved for chunks, in bytes.
+// MemoryUsed returns the memory reserved for chunks, in bytes.
 func (m *Manager) MemoryUsed() int64 {
-	return m.shelf.Used()
+	return m.holdings.Used()
 }
 
-// Replica is where a VM stands with fetching a version.
+// Replica is the progress of a VM in fetching a version.
 type Replica struct {
 	Rollout     *pb.Rollout
 	Held, Total int
@@ -148,10 +155,10 @@
 	Reason      string
 }
 
-// Replicas returns the versions that this VM should hold, oldest rollout first.
+// Replicas returns the progress of all versions that this VM should hold, oldest rollout first.
 func (m *Manager) Replicas() []Replica {
 	var l []Replica
-	for _, r := range m.wanted() {
+	for _, r := range m.targetedRollouts() {
 		p := Replica{Rollout: r, Total: int(config.ChunkCount(r.GetVersion())), Reason: "no room in memory"}
 		m.mu.Lock()
 		d := m.downloads[id.Rollout(r.GetId())]
@@ -167,12 +174,12 @@
 	return l
 }
 
-// Holding returns what is held of a rollout, or nil.
+// Holding returns the holding of a rollout, or nil.
 func (m *Manager) Holding(r id.Rollout) *Holding {
-	return m.shelf.Find(r)
+	return m.holdings.Find(r)
 }
 
-func (m *Manager) wanted() []*pb.Rollout {
+func (m *Manager) targetedRollouts() []*pb.Rollout {
 	var l []*pb.Rollout
 	for _, r := range m.follower.State().Active() {
 		if config.Targeted(r, m.follower.Self()) {
@@ -182,7 +189,7 @@
 	return l
 }
 
-// Run follows the configuration until the context ends.
+// Run applies configuration changes until the context ends.
 func (m *Manager) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		changed := m.follower.Changed()
@@ -196,48 +203,48 @@
 	return nil
 }
 
-// reconcile ends the downloads that are no longer wanted and starts those that are.
+// reconcile stops the downloads that are no longer wanted and starts missing ones.
 func (m *Manager) reconcile(ctx context.Context) {
 	wanted := map[id.Rollout]bool{}
-	for _, r := range m.wanted() {
+	for _, r := range m.targetedRollouts() {
 		wanted[id.Rollout(r.GetId())] = true
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for name, d := range m.downloads {
 		if !wanted[name] {
-			m.end(name, d)
+			m.stopDownload(name, d)
 		}
 	}
-	for _, r := range m.wanted() {
+	for _, r := range m.targetedRollouts() {
 		if m.downloads[id.Rollout(r.GetId())] == nil {
-			m.start(ctx, r)
+			m.startDownload(ctx, r)
 		}
 	}
 }
 
-// end stops a download. A superseded one's chunks stay while there is room, as the next version may share them; a
-// cancelled one's are freed.
-func (m *Manager) end(name id.Rollout, d *running) {
+// stopDownload stops a download. The chunks of a superseded rollout are kept while there is room, as the next version
+// may share them; those of a cancelled one are freed.
+func (m *Manager) stopDownload(name id.Rollout, d *runningDownload) {
 	d.stop()
 	delete(m.downloads, name)
 	d.event(kernel.EventRolloutDropped, "")
 	r := m.follower.State().Rollout(name)
 	if r.GetState() == pb.RolloutState_ROLLOUT_STATE_SUPERSEDED {
-		m.shelf.MarkEvictable(name)
+		m.holdings.MarkEvictable(name)
 		return
 	}
-	m.shelf.Remove(name)
+	m.holdings.Remove(name)
 }
 
-func (m *Manager) start(ctx context.Context, r *pb.Rollout) {
-	h, err := m.shelf.Open(r)
+func (m *Manager) startDownload(ctx context.Context, r *pb.Rollout) {
+	h, err := m.holdings.Open(r)
 	if err != nil {
-		m.host.Log.Warn().Err(err).Str("rollout", r.GetId()).Msg("version can't be fetched")
+		m.host.Log.Warn().Err(err).Str("rollout", r.GetId()).Msg("cannot fetch the version")
 		return
 	}
 	ctx, stop := context.WithCancel(ctx)
-	d := &running{Download: NewDownload(m.env(), r, h, m.links(r)), stop: stop}
+	d := &runningDownload{Download: NewDownload(m.dependencies(), r, h, m.transport(r)), stop: stop}
 	m.downloads[id.Rollout(r.GetId())] = d
 	d.event(kernel.EventRolloutLearnt, "")
 	go d.Run(ctx)
--- a/internal/transfer/serve.go
+++ b/internal/transfer/serve.go
@@ -17,40 +17,42 @@
 const (
 	chunkPath    = "/swarm/chunk/"
 	manifestPath = "/swarm/manifest/"
-	// writeBytes is the piece that pacing works on. It is what may stand in front of a live answer on the same link:
-	// 18 ms on links of 7.3 Mbit/s.
-	writeBytes = 16 << 10
-	// maxWait bounds a neighbour's long poll.
-	maxWait = 5 * time.Second
-	// haveSettle joins chunks that arrive close together into one answer.
-	haveSettle = 10 * time.Millisecond
+	// writeSize is the number of bytes per paced write. It bounds the data that may be ahead of a live response on the
+	// same link: 18 ms on links of 7.3 Mbit/s.
+	writeSize = 16 << 10
+	// maxPollWait bounds the long polls of neighbours.
+	maxPollWait = 5 * time.Second
+	// haveBatchDelay merges chunks that arrive close together into one response.
+	haveBatchDelay = 10 * time.Millisecond
 )
 
-// Uploads serves chunks to neighbours: a bounded number at a time, paced, and "busy" at once beyond that.
+// Uploads serves chunks to neighbours. It bounds concurrent uploads, limits their rate, and rejects further requests as
+// busy.
 type Uploads struct {
-	shelf *HoldingStore
-	slots chan struct{}
-	pace  *rate.Limiter
-	stats *Stats
-	// SlowAfter is the time of one chunk from which on uploads go one at a time, as on a link that has become narrow
-	// several would hold up the live answers that leave by it; 0 sets no bound.
+	holdings *HoldingStore
+	slots    chan struct{}
+	pace     *rate.Limiter
+	stats    *Stats
+	// SlowAfter is the upload time of one chunk above which uploads run one at a time: on a slow link, concurrent
+	// uploads would delay live responses; 0 sets no bound.
 	SlowAfter time.Duration
 	slow      atomic.Bool
 }
 
-// NewUploads serves from a shelf with a number of slots; pace is in bytes a second.
+// NewUploads returns an Uploads that serves from a holding store with a number of upload slots; pace is in bytes per
+// second.
 func NewUploads(s *HoldingStore, slots int, pace *rate.Limiter, t *Stats) *Uploads {
-	return &Uploads{shelf: s, slots: make(chan struct{}, slots), pace: pace, stats: t}
+	return &Uploads{holdings: s, slots: make(chan struct{}, slots), pace: pace, stats: t}
 }
 
-// Register adds the handlers.
+// Register adds the HTTP handlers.
 func (u *Uploads) Register(handle func(path string, h http.Handler)) {
 	handle("GET "+chunkPath+"{rollout}/{chunk}", http.HandlerFunc(u.chunk))
 	handle("GET "+manifestPath+"{rollout}", http.HandlerFunc(u.manifest))
 }
 
 func (u *Uploads) chunk(w http.ResponseWriter, r *http.Request) {
-	h := u.shelf.Find(id.Rollout(r.PathValue("rollout")))
+	h := u.holdings.Find(id.Rollout(r.PathValue("rollout")))
 	n, err := strconv.ParseUint(r.PathValue("chunk"), 10, 32)
 	if h == nil || err != nil {
 		http.Error(w, "unknown rollout or chunk", http.StatusNotFound)
@@ -61,7 +63,7 @@
 		http.Error(w, "chunk not held", http.StatusNotFound)
 		return
 	}
-	if !u.enter() {
+	if !u.acquireSlot() {
 		u.stats.busy.Add(1)
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
@@ -75,7 +77,7 @@
 
 func (u *Uploads) write(ctx context.Context, w http.ResponseWriter, data []byte) {
 	for len(data) > 0 {
-		n := min(writeBytes, len(data))
+		n := min(writeSize, len(data))
 		if u.pace.WaitN(ctx, n) != nil {
 			return
 		}
@@ -87,8 +89,8 @@
 	}
 }
 
-// enter takes an upload slot, or only the first one while uploads are slow.
-func (u *Uploads) enter() bool {
+// acquireSlot takes an upload slot without waiting; while uploads are slow there is only one.
+func (u *Uploads) acquireSlot() bool {
 	if u.slow.Load() && len(u.slots) > 0 {
 		return false
 	}
@@ -100,14 +102,14 @@
 	}
 }
 
-// manifest waits a while for the manifest, so that it runs through the swarm as fast as its links.
+// manifest is a long poll for the manifest, so that it spreads through the swarm without polling delays.
 func (u *Uploads) manifest(w http.ResponseWriter, r *http.Request) {
-	h := u.shelf.Find(id.Rollout(r.PathValue("rollout")))
+	h := u.holdings.Find(id.Rollout(r.PathValue("rollout")))
 	if h == nil {
 		http.Error(w, "unknown rollout", http.StatusNotFound)
 		return
 	}
-	timeout := time.After(maxWait)
+	timeout := time.After(maxPollWait)
 	for {
 		changed := h.Changed()
 		if raw := h.Manifest(); raw != nil {
@@ -125,13 +127,13 @@
 	}
 }
 
-// Have implements the swarm service: it returns the chunks that the caller does not know of, once there are some.
+// Have implements the SwarmService: a long poll for the chunks that the caller does not know of.
 func (u *Uploads) Have(ctx context.Context, r *pb.HaveRequest) (*pb.HaveResponse, error) {
-	h := u.shelf.Find(id.Rollout(r.GetRollout()))
+	h := u.holdings.Find(id.Rollout(r.GetRollout()))
 	if h == nil {
 		return &pb.HaveResponse{Missing: true}, nil
 	}
-	ctx, stop := context.WithTimeout(ctx, min(time.Duration(r.GetWaitMs())*time.Millisecond, maxWait))
+	ctx, stop := context.WithTimeout(ctx, min(time.Duration(r.GetWaitMs())*time.Millisecond, maxPollWait))
 	defer stop()
 	for {
 		changed := h.Changed()
@@ -146,7 +148,7 @@
 		select {
 		case <-ctx.Done():
 		case <-changed:
-			kernel.Pause(ctx, haveSettle)
+			kernel.Pause(ctx, haveBatchDelay)
 		}
 	}
 }
--- a/internal/transfer/shelf.go
+++ b/internal/transfer/shelf.go
@@ -10,26 +10,26 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// ErrNoMemory says that the cap on memory for chunks leaves no room for a version.
-var ErrNoMemory = errors.New("no memory left for chunks")
+// ErrNoMemory means that a version does not fit into the memory for chunks.
+var ErrNoMemory = errors.New("not enough memory for chunks")
 
-// HoldingStore keeps the holdings of a VM under one cap on memory.
+// HoldingStore stores the holdings of a VM within a memory limit.
 type HoldingStore struct {
 	capacity int64
 	mu       sync.Mutex
 	holdings map[id.Rollout]*Holding
 	reserved map[id.Rollout]int64
-	// ended lists holdings kept only for rolling back and for sharing chunks, oldest first.
-	ended []id.Rollout
+	// evictable lists holdings that are kept only for rollbacks and for sharing chunks, oldest first.
+	evictable []id.Rollout
 }
 
-// NewHoldingStore makes an empty shelf of a capacity in bytes.
+// NewHoldingStore returns an empty store with a capacity in bytes.
 func NewHoldingStore(capacity int64) *HoldingStore {
 	return &HoldingStore{capacity: capacity, holdings: map[id.Rollout]*Holding{}, reserved: map[id.Rollout]int64{}}
 }
 
-// Open returns the holding of a rollout, making it where there is room. Ended holdings are dropped for room, oldest
-// first.
+// Open returns the holding of a rollout and creates it if necessary. It evicts evictable holdings, oldest first, to make
+// room.
 func (s *HoldingStore) Open(r *pb.Rollout) (*Holding, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,20 +38,21 @@
 		return h, nil
 	}
 	need := int64(r.GetVersion().GetTotalBytes())
-	for s.used()+need > s.capacity && len(s.ended) > 0 {
-		s.drop(s.ended[0])
+	for s.reservedBytes()+need > s.capacity && len(s.evictable) > 0 {
+		s.remove(s.evictable[0])
 	}
-	if s.used()+need > s.capacity {
-		return nil, trace.Wrap(ErrNoMemory, "%d bytes wanted, %d of %d used", need, s.used(), s.capacity)
+	if s.reservedBytes()+need > s.capacity {
+		return nil, trace.Wrap(ErrNoMemory, "%d bytes needed, %d of %d reserved", need, s.reservedBytes(), s.capacity)
 	}
-	h := NewHolding(r, epochNow())
+	h := NewHolding(r, newEpoch())
 	s.holdings[name] = h
 	s.reserved[name] = need
 	return h, nil
 }
 
-// used is the memory reserved, in bytes. Chunks that holdings share are counted in each.
-func (s *HoldingStore) used() int64 {
+// reservedBytes returns the reserved memory in bytes. Chunks that holdings share count in each. The caller holds the
+// lock.
+func (s *HoldingStore) reservedBytes() int64 {
 	var n int64
 	for _, b := range s.reserved {
 		n += b
@@ -59,24 +60,24 @@
 	return n
 }
 
-// Used is the memory reserved for chunks, in bytes.
+// Used returns the memory reserved for chunks, in bytes.
 func (s *HoldingStore) Used() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.used()
+	return s.reservedBytes()
 }
 
-// MarkEvictable keeps a holding only as long as nothing needs its room.
+// MarkEvictable keeps a holding only until its memory is needed.
 func (s *HoldingStore) MarkEvictable(r id.Rollout) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, e := range s.ended {
+	for _, e := range s.evictable {
 		if e == r {
 			return
 		}
 	}
 	if s.holdings[r] != nil {
-		s.ended = append(s.ended, r)
+		s.evictable = append(s.evictable, r)
 	}
 }
 
@@ -84,41 +85,41 @@
 func (s *HoldingStore) Remove(r id.Rollout) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drop(r)
+	s.remove(r)
 }
 
-func (s *HoldingStore) drop(r id.Rollout) {
+func (s *HoldingStore) remove(r id.Rollout) {
 	delete(s.holdings, r)
 	delete(s.reserved, r)
-	for i, e := range s.ended {
+	for i, e := range s.evictable {
 		if e == r {
-			s.ended = append(s.ended[:i:i], s.ended[i+1:]...)
+			s.evictable = append(s.evictable[:i:i], s.evictable[i+1:]...)
 			return
 		}
 	}
 }
 
-// Find returns the holding of a rollout or nil.
+// Find returns the holding of a rollout, or nil.
 func (s *HoldingStore) Find(r id.Rollout) *Holding {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.holdings[r]
 }
 
-// CopySharedChunks fills a holding that has its manifest with the chunks of the same organisation's other holdings, and returns
-// how many it found.
+// CopySharedChunks adds chunks of the same organisation's other holdings to a holding that has its manifest, and returns
+// how many it added.
 func (s *HoldingStore) CopySharedChunks(h *Holding) int {
 	s.mu.Lock()
 	known := map[string][]byte{}
 	for _, other := range s.holdings {
 		if other != h && other.rollout.GetOrganisation() == h.rollout.GetOrganisation() {
-			other.collect(known)
+			other.collectByHash(known)
 		}
 	}
 	s.mu.Unlock()
 	found := 0
 	for c := range h.chunks {
-		data := known[string(h.hash(id.Chunk(c)))]
+		data := known[string(h.chunkHash(id.Chunk(c)))]
 		if data == nil {
 			continue
 		}
@@ -129,13 +130,13 @@
 	return found
 }
 
-// collect adds the holding's chunks by hash.
-func (h *Holding) collect(known map[string][]byte) {
+// collectByHash adds the holding's chunks to a map by hash.
+func (h *Holding) collectByHash(known map[string][]byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for c, data := range h.chunks {
 		if data != nil {
-			known[string(h.hash(id.Chunk(c)))] = data
+			known[string(h.chunkHash(id.Chunk(c)))] = data
 		}
 	}
 }
