--- a/internal/stager/load.go
+++ b/internal/stager/load.go
@@ -170,7 +170,8 @@
 const loadTimeout = 9 * time.Second
 
 // drainQueue waits until no request is queued at the upstream, which has just stopped accepting new ones. Running
-// requests are left to the upstream itself: during a swap few other upstreams could continue a stream on its version.
+// requests are finished by the upstream itself: during a swap few other upstreams could continue a stream on its
+// version.
 func (s *Stager) drainQueue(ctx context.Context) {
 	s.mu.Lock()
 	closedAt := s.closedAt
--- a/internal/stager/stager_test.go
+++ b/internal/stager/stager_test.go
@@ -38,7 +38,7 @@
 	chunkBytes = 512
 )
 
-var errUnavailable = errors.New("away")
+var errUnavailable = errors.New("unavailable")
 
 // content returns the weights of a version.
 func content(r id.Revision) []byte {
@@ -60,7 +60,7 @@
 	loseResponse bool
 	// orderedAt is the time of the newest order.
 	orderedAt time.Time
-	// refuseCount is the number of next orders that are refused.
+	// refuseCount is how many of the next orders are refused.
 	refuseCount int
 	// corruptOrigin damages chunks that the origin returns; corruptStaged damages chunks when they are staged.
 	corruptOrigin, corruptStaged map[id.Chunk]bool
@@ -370,9 +370,9 @@
 			reporter: reports.NewReporter(c, "d", f, time.Now, quiet),
 		}
 		s.dependencies.Self = swarm.Member{VM: "127.0.0.1:9", Domain: "d"}
-		shelf := transfer.NewHoldingStore(1 << 20)
+		holdings := transfer.NewHoldingStore(1 << 20)
 		g := &targetVersion{model: "m", pool: "p", wanted: facts.Wanted{Revision: 2, LearntAt: now.Add(-time.Second)}}
-		g.holding, err = shelf.Open(&pb.Rollout{Id: "m@2", Version: &pb.Version{TotalBytes: chunks * chunkBytes, ChunkBytes: chunkBytes}})
+		g.holding, err = holdings.Open(&pb.Rollout{Id: "m@2", Version: &pb.Version{TotalBytes: chunks * chunkBytes, ChunkBytes: chunkBytes}})
 		Expect(err).NotTo(HaveOccurred())
 		m, err := manifest.New(bytes.NewReader(content(2)), chunkBytes)
 		Expect(err).NotTo(HaveOccurred())
