--- a/internal/decide/variants.go
+++ b/internal/decide/variants.go
@@ -79,7 +79,7 @@
 func aimShare(share float64) func(*simGateway, *placement.Forecast, []placement.Candidate) {
 	return func(d *simGateway, w *placement.Forecast, _ []placement.Candidate) {
 		m := placement.NewLatencyModel(d.sim.catalog.Services[pool].Engine)
-		aim := time.Duration(float64(d.sim.catalog.Aim(pool)) * share / currentAimShare)
+		aim := time.Duration(float64(d.sim.catalog.LatencyTarget(pool)) * share / currentAimShare)
 		w.CanAdmit = func(c *placement.Candidate) bool { return placement.InTime(m.AdmissionLatency(c), 0, aim) }
 	}
 }
--- a/internal/fleet/rollout_test.go
+++ b/internal/fleet/rollout_test.go
@@ -34,7 +34,7 @@
 		VMs: vms, Domains: 2, LinkBytesPerSecond: link, OriginLinks: 2, Seed: 1, Swarm: transfer.NewSettings(),
 		Serving: true, Engine: speeds, ListLag: 50 * time.Millisecond,
 	}
-	s.Swarm.Patience = 300 * time.Millisecond
+	s.Swarm.TakeoverDelay = 300 * time.Millisecond
 	if change != nil {
 		change(&s)
 	}
@@ -285,6 +285,6 @@
 }
 
 func loading(a *fleet.Agent) bool {
-	l, ok := a.Engine.State().Find(fleet.Organisation, fleet.Model)
+	l, ok := a.Engine.State().FindModel(fleet.Organisation, fleet.Model)
 	return ok && l.Status == engine.StatusLoading
 }
--- a/internal/gateway/begun_test.go
+++ b/internal/gateway/begun_test.go
@@ -26,7 +26,7 @@
 
 	// applyConfig applies a second configuration, with keys and limits that the first does not have.
 	applyConfig := func(b *testbed, routes []*catalog.Route, keys ...string) {
-		services := []*catalog.Service{{Name: "plain"}, {Name: "engines", Engine: &catalog.Engine{Slots: 4, Step: time.Millisecond, ReadPerSecond: 100000}}}
+		services := []*catalog.Service{{Name: "plain"}, {Name: "engines", Engine: &catalog.Engine{Slots: 4, StepTime: time.Millisecond, PrefillTokensPerSecond: 100000}}}
 		orgs := []*catalog.Organisation{{Name: "gym", Keys: keys}}
 		b.facts.SetCatalog(catalog.New(8, routes, services, orgs, catalog.Limits{HeaderBytes: 1, BodyBytes: 1, IdleTimeout: time.Millisecond}))
 	}
--- a/internal/gateway/draining_test.go
+++ b/internal/gateway/draining_test.go
@@ -84,7 +84,7 @@
 	// the draining and reported the upstream's load to that gateway five times a second.
 	It("gets no more requests from a gateway whose list still shows it as ready", func() {
 		r := route(catalog.Streaming, "engines")
-		r.Aim = 400 * time.Millisecond
+		r.LatencyTarget = 400 * time.Millisecond
 		b := newTestbed(r)
 		b.addUpstream("u", "engines", func(q *http.Request, _ string, c net.Conn) {
 			stream(c, q, xRevision+": 1\r\n", "id: 1\ndata: a\n\n")
--- a/internal/gateway/link_test.go
+++ b/internal/gateway/link_test.go
@@ -176,7 +176,7 @@
 
 func newLinkTestbed(ctx context.Context, within time.Duration) *linkTestbed {
 	r := route(catalog.Streaming, "engines")
-	r.Timeout, r.Aim = 20*time.Second, 10*time.Second
+	r.Timeout, r.LatencyTarget = 20*time.Second, 10*time.Second
 	e := &linkTestbed{testbed: newTestbed(r), link: newLink(ctx)}
 	e.gateway.settings.SwapWithin = within
 	e.addUpstream("u", "engines", func(q *http.Request, _ string, c net.Conn) {
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -302,7 +302,7 @@
 	}
 	if f.route != nil {
 		e = e.Str("route", string(f.route.Name)).Str("organisation", string(f.organisation)).Str("pool", string(f.pool)).
-			Int64("route_aim_ms", f.route.Aim.Milliseconds())
+			Int64("route_aim_ms", f.route.LatencyTarget.Milliseconds())
 	}
 	if f.upstreamAddress != "" {
 		e = e.Str("upstream", f.upstreamAddress).Int64("predicted_ms", f.predictedFirst.Milliseconds()).
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -101,22 +101,22 @@
 		return 0
 	}
 	e := m.engine
-	context := float64(running) * (e.UsualPrompt + e.UsualAnswer/2) / 1000
-	stepTime := e.Step + time.Duration(running)*e.PerSequence + time.Duration(context*float64(e.ContextPer1k))
-	return time.Duration(e.Stride) * stepTime
+	context := float64(running) * (e.MeanPromptTokens + e.MeanAnswerTokens/2) / 1000
+	stepTime := e.StepTime + time.Duration(running)*e.StepTimePerRequest + time.Duration(context*float64(e.StepTimePer1kContext))
+	return time.Duration(e.StepsPerPass) * stepTime
 }
 
 // readDuration returns the time to read a number of prompt tokens.
 func (m LatencyModel) readDuration(tokens float64) time.Duration {
-	return time.Duration(tokens / m.engine.ReadPerSecond * float64(time.Second))
+	return time.Duration(tokens / m.engine.PrefillTokensPerSecond * float64(time.Second))
 }
 
 // TimePerRequest returns the engine time per usual request with all slots taken, which is the delay that each queued
 // request adds.
 func (m LatencyModel) TimePerRequest(slots int) time.Duration {
 	e := m.engine
-	passes := e.UsualAnswer / float64(max(1, e.Stride))
-	return time.Duration(passes*float64(m.passDuration(slots))/float64(max(1, slots))) + m.readDuration(e.UsualPrompt)
+	passes := e.MeanAnswerTokens / float64(max(1, e.StepsPerPass))
+	return time.Duration(passes*float64(m.passDuration(slots))/float64(max(1, slots))) + m.readDuration(e.MeanPromptTokens)
 }
 
 // Advance applies the work that an upstream is expected to do in a time without arrivals: running requests end in
@@ -134,10 +134,10 @@
 		timePerEnd := float64(running) * float64(m.TimePerRequest(running))
 		ended = min(running, int(math.Round(float64(running)*workTime/timePerEnd)))
 	}
-	perToken := float64(time.Second)/m.engine.ReadPerSecond + float64(m.passDuration(running))/float64(max(1, m.engine.ReadChunk))
+	perToken := float64(time.Second)/m.engine.PrefillTokensPerSecond + float64(m.passDuration(running))/float64(max(1, m.engine.MaxPrefillTokens))
 	readTokens := workTime / perToken
-	started := min(c.Waiting, slots-running+ended, int(math.Round(readTokens/max(1, m.engine.UsualPrompt))))
-	c.SpareTokens = max(0, readTokens-float64(started)*m.engine.UsualPrompt)
+	started := min(c.Waiting, slots-running+ended, int(math.Round(readTokens/max(1, m.engine.MeanPromptTokens))))
+	c.SpareTokens = max(0, readTokens-float64(started)*m.engine.MeanPromptTokens)
 	if c.Waiting > 0 {
 		c.Backlog *= float64(c.Waiting-started) / float64(c.Waiting)
 	}
@@ -150,7 +150,7 @@
 	slots := max(1, c.Slots)
 	passTime := m.passDuration(min(c.load(), slots))
 	tokens := prompt + c.Backlog
-	passes := 1 + tokens/float64(max(1, m.engine.ReadChunk))
+	passes := 1 + tokens/float64(max(1, m.engine.MaxPrefillTokens))
 	d := passTime/2 + m.readDuration(tokens) + time.Duration(passes*float64(passTime))
 	if excess := c.load() + 1 - slots; excess > 0 {
 		d = passTime + m.readDuration(prompt) + time.Duration(excess)*m.TimePerRequest(slots)
@@ -164,5 +164,5 @@
 
 // AdmissionLatency predicts the time to the first event by which admission to an upstream is decided.
 func (m LatencyModel) AdmissionLatency(c *Candidate) time.Duration {
-	return m.FirstEvent(c, admissionPromptFactor*m.engine.UsualPrompt)
+	return m.FirstEvent(c, admissionPromptFactor*m.engine.MeanPromptTokens)
 }
--- a/internal/upstream/activator.go
+++ b/internal/upstream/activator.go
@@ -85,7 +85,7 @@
 }
 
 // loadedRollout returns the rollout with exactly the content that the engine has loaded for a model, or nil.
-func (a *Activator) loadedRollout(l engine.Loaded) *pb.Rollout {
+func (a *Activator) loadedRollout(l engine.ModelState) *pb.Rollout {
 	for _, r := range a.config().Rollouts() {
 		v := r.GetVersion()
 		if r.GetOrganisation() == string(l.Organisation) && v.GetModel() == string(l.Model) &&
@@ -168,7 +168,7 @@
 	if !p.Complete {
 		return false
 	}
-	l, ok := s.Find(id.Organisation(r.GetOrganisation()), id.Model(r.GetVersion().GetModel()))
+	l, ok := s.FindModel(id.Organisation(r.GetOrganisation()), id.Model(r.GetVersion().GetModel()))
 	if !ok || l.Fence < id.Fence(r.GetFence()) {
 		return true
 	}
@@ -214,7 +214,7 @@
 		ContentURL:     a.localURL + "/local/" + r.GetId() + "/content",
 	})
 	switch {
-	case errors.Is(err, engine.ErrFenced):
+	case errors.Is(err, engine.ErrStaleFence):
 		a.addEvent(kernel.EventLoadRefused, r, "the engine has obeyed a later order")
 	case err != nil:
 		a.log.Warn().Err(err).Str("rollout", r.GetId()).Msg("the engine did not accept the order to load")
@@ -246,7 +246,7 @@
 	r := p.Rollout
 	m := &pb.ReplicaProgress{
 		Rollout: r.GetId(), Organisation: r.GetOrganisation(), State: pb.ReplicaState_REPLICA_STATE_FETCHING,
-		ChunksHeld: uint32(p.Held), ChunksTotal: uint32(p.All), OriginBytes: uint64(p.OriginBytes), Reason: p.Reason,
+		ChunksHeld: uint32(p.Held), ChunksTotal: uint32(p.Total), OriginBytes: uint64(p.OriginBytes), Reason: p.Reason,
 	}
 	if p.Complete {
 		m.State, m.Reason = pb.ReplicaState_REPLICA_STATE_COMPLETE, "waits for its turn to swap"
@@ -254,7 +254,7 @@
 	if a.swapping[id.Rollout(r.GetId())] {
 		m.State, m.Reason = pb.ReplicaState_REPLICA_STATE_LOADING, "the engine is about to load"
 	}
-	l, ok := s.Find(id.Organisation(r.GetOrganisation()), id.Model(r.GetVersion().GetModel()))
+	l, ok := s.FindModel(id.Organisation(r.GetOrganisation()), id.Model(r.GetVersion().GetModel()))
 	if !ok || l.Fence != id.Fence(r.GetFence()) {
 		return m
 	}
