--- a/internal/callerapi/part.go
+++ b/internal/callerapi/part.go
@@ -88,8 +88,8 @@
 	}
 	c := h.Part(configlog.PartName).(*configlog.Part)
 	t := newTally()
-	h.Metric("requests", t.outcomes)
-	h.Metric("request_ms", expvar.Func(t.quantiles))
+	h.AddMetric("requests", t.outcomes)
+	h.AddMetric("request_ms", expvar.Func(t.quantiles))
 	return &Part{
 		tally:    t,
 		settings: s, listener: l, host: h, state: c.State, ready: c.Ready,
--- a/internal/cmd/daemon.go
+++ b/internal/cmd/daemon.go
@@ -56,7 +56,7 @@
 	if len(named) > 0 {
 		parts = kernel.Select(named...)
 	}
-	sections := kernel.Sections(parts)
+	sections := kernel.DefaultSections(parts)
 	if problems := kernel.LoadSettings(*file, sections); len(problems) > 0 {
 		for _, p := range problems {
 			fmt.Fprintf(os.Stderr, "%s: %s\n", name, p)
@@ -72,13 +72,13 @@
 
 func runDaemon(name, file string, parts []kernel.Part, sections map[string]kernel.Section) int {
 	sink := logsink.New(os.Stdout)
-	l := newLogger(sections["process"].(*kernel.Process), sink)
+	l := newLogger(sections["process"].(*kernel.ProcessSettings), sink)
 	h, err := kernel.NewHost(parts, sections, l, kernel.NewClock(time.Now))
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: can't start: %v\n", name, err)
 		return ExitFailed
 	}
-	h.Metric("log_lines_dropped", sink.Dropped)
+	h.AddMetric("log_lines_dropped", sink.Dropped)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	go watchReload(ctx, l, file, parts, sections)
@@ -91,7 +91,7 @@
 	return ExitDone
 }
 
-func newLogger(p *kernel.Process, w io.Writer) *log.Logger {
+func newLogger(p *kernel.ProcessSettings, w io.Writer) *log.Logger {
 	return &log.Logger{
 		Level:   log.ParseLevel(p.LogLevel),
 		Context: log.NewContext(nil).Str("vm", p.VM).Str("domain", p.Domain).Value(),
@@ -111,7 +111,7 @@
 			return
 		case <-c:
 		}
-		fresh := kernel.Sections(parts)
+		fresh := kernel.DefaultSections(parts)
 		problems := kernel.LoadSettings(file, fresh)
 		for _, p := range problems {
 			l.Warn().Str("problem", p.String()).Msg("settings not reloaded")
@@ -124,7 +124,7 @@
 				l.Warn().Str("section", name).Msg("settings changed: they hold from the next start on")
 			}
 		}
-		l.Level = log.ParseLevel(fresh["process"].(*kernel.Process).LogLevel)
+		l.Level = log.ParseLevel(fresh["process"].(*kernel.ProcessSettings).LogLevel)
 		l.Info().Msg("settings reloaded")
 	}
 }
--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -43,7 +43,7 @@
 
 // Leave stops the agent as an operator does and waits until it has ended.
 func (a *Agent) Leave() {
-	a.host.Leave()
+	a.host.BeginShutdown()
 	<-a.ended
 }
 
--- a/internal/fleet/entry.go
+++ b/internal/fleet/entry.go
@@ -30,7 +30,7 @@
 
 // Leave stops the entry as an operator does and waits until it has ended.
 func (e *Entry) Leave() {
-	e.host.Leave()
+	e.host.BeginShutdown()
 	<-e.ended
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -180,8 +180,8 @@
 			parts = append(parts, p)
 		}
 	}
-	sections := kernel.Sections(parts)
-	p := sections["process"].(*kernel.Process)
+	sections := kernel.DefaultSections(parts)
+	p := sections["process"].(*kernel.ProcessSettings)
 	p.VM, p.Domain = vm, string(d)
 	change(sections)
 	return kernel.NewHost(parts, sections, quietLog(), clock)
--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -127,8 +127,8 @@
 	g := New(s, d, h.Part(facts.PartName).(*facts.Facts), load, q, connect, h.Identity.Domain, h.Log)
 	g.listener = l
 	h.Part(rpc.PartName).(*rpc.Server).Handle(springrailv1connect.NewLimitServiceHandler(g))
-	h.Metric("requests", g.tally.vars)
-	h.Metric("in_flight", expvar.Func(func() any { return g.inFlight.Load() }))
+	h.AddMetric("requests", g.tally.vars)
+	h.AddMetric("in_flight", expvar.Func(func() any { return g.inFlight.Load() }))
 	return g, nil
 }
 
--- a/internal/kernel/host.go
+++ b/internal/kernel/host.go
@@ -28,21 +28,21 @@
 	Domain id.Domain
 }
 
-// Process is the settings section that every daemon has.
-type Process struct {
+// ProcessSettings is the settings section that every daemon has.
+type ProcessSettings struct {
 	VM       string        `toml:"vm"`
 	Domain   string        `toml:"domain"`
 	LogLevel string        `toml:"log_level"`
 	Drain    time.Duration `toml:"drain"`
 }
 
-// NewProcess returns the defaults.
-func NewProcess() *Process {
-	return &Process{LogLevel: "info", Drain: defaultDrain}
+// NewProcessSettings returns the defaults.
+func NewProcessSettings() *ProcessSettings {
+	return &ProcessSettings{LogLevel: "info", Drain: defaultDrain}
 }
 
 // Check implements Section.
-func (p *Process) Check(c *Checker) {
+func (p *ProcessSettings) Check(c *Checker) {
 	c.Require(p.VM != "", "vm", "the name of this VM in the platform's list")
 	c.Require(p.Domain != "", "domain", "the failure domain of this VM")
 	levels := map[string]bool{"debug": true, "info": true, "warn": true, "error": true}
@@ -64,9 +64,9 @@
 	metrics  *expvar.Map
 }
 
-// Sections returns the default settings of the parts, by section name.
-func Sections(parts []Part) map[string]Section {
-	m := map[string]Section{"process": NewProcess()}
+// DefaultSections returns the default settings of the parts, by section name.
+func DefaultSections(parts []Part) map[string]Section {
+	m := map[string]Section{"process": NewProcessSettings()}
 	for _, p := range parts {
 		if p.Section != "" {
 			m[p.Section] = p.Settings()
@@ -77,7 +77,7 @@
 
 // NewHost makes the parts in the order of their needs.
 func NewHost(parts []Part, sections map[string]Section, l *log.Logger, c *Clock) (*Host, error) {
-	p := sections["process"].(*Process)
+	p := sections["process"].(*ProcessSettings)
 	h := &Host{
 		Identity: Identity{VM: id.VM(p.VM), Domain: id.Domain(p.Domain)},
 		Log:      l,
@@ -113,8 +113,8 @@
 	return h.made[name]
 }
 
-// Metric adds a metric of a part. Each host has its own, so that several can run in one process.
-func (h *Host) Metric(name string, v expvar.Var) {
+// AddMetric adds a metric of a part. Each host has its own, so that several can run in one process.
+func (h *Host) AddMetric(name string, v expvar.Var) {
 	h.metrics.Set(name, v)
 }
 
@@ -134,8 +134,8 @@
 	_, _ = fmt.Fprintln(w, "\n}")
 }
 
-// Readier is a part that can say that it is not ready to serve.
-type Readier interface {
+// ReadinessReporter is a part that can say that it is not ready to serve.
+type ReadinessReporter interface {
 	// NotReady says what is missing, or nothing.
 	NotReady() string
 }
@@ -143,7 +143,7 @@
 // Ready says whether all parts are ready, and if not, what is missing.
 func (h *Host) Ready() (bool, string) {
 	for _, p := range h.started {
-		if r, ok := p.(Readier); ok {
+		if r, ok := p.(ReadinessReporter); ok {
 			if why := r.NotReady(); why != "" {
 				return false, why
 			}
@@ -152,8 +152,8 @@
 	return true, ""
 }
 
-// Leave begins a planned stop, as SIGTERM does.
-func (h *Host) Leave() {
+// BeginShutdown begins a planned stop, as SIGTERM does.
+func (h *Host) BeginShutdown() {
 	h.leave()
 }
 
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -115,7 +115,7 @@
 	})
 	DescribeTable("that do not fit are refused", func(parts ...Part) {
 		_, err := order(parts)
-		Expect(err).To(MatchError(ErrPart))
+		Expect(err).To(MatchError(ErrInvalidParts))
 	},
 		Entry("missing", made("a", "b")), Entry("circle", made("a", "b"), made("b", "a")), Entry("twice", made("a"), made("a")))
 })
@@ -124,7 +124,7 @@
 	It("forgets the oldest and numbers all", func() {
 		r := NewEventRing(NewClock(time.Now), 3)
 		for range 5 {
-			r.Add(Event{Kind: EventChangeAsked})
+			r.Add(Event{Kind: EventChangeRequested})
 		}
 		l := r.List(func(Event) bool { return true })
 		Expect(l).To(HaveLen(3))
--- a/internal/kernel/part.go
+++ b/internal/kernel/part.go
@@ -10,8 +10,8 @@
 	"github.com/gravitational/trace"
 )
 
-// ErrPart says that the parts linked into a binary do not fit together.
-var ErrPart = errors.New("parts do not fit together")
+// ErrInvalidParts says that the parts linked into a binary do not fit together.
+var ErrInvalidParts = errors.New("parts do not fit together")
 
 // Part is one piece of a process that registers itself from its package's init.
 type Part struct {
@@ -81,7 +81,7 @@
 	byName := map[string]Part{}
 	for _, p := range parts {
 		if _, twice := byName[p.Name]; twice {
-			return nil, trace.Wrap(ErrPart, "part %q is registered twice", p.Name)
+			return nil, trace.Wrap(ErrInvalidParts, "part %q is registered twice", p.Name)
 		}
 		byName[p.Name] = p
 	}
@@ -91,11 +91,11 @@
 	visit = func(name string) error {
 		p, ok := byName[name]
 		if !ok {
-			return trace.Wrap(ErrPart, "part %q is needed and not linked in", name)
+			return trace.Wrap(ErrInvalidParts, "part %q is needed and not linked in", name)
 		}
 		switch state[name] {
 		case 1:
-			return trace.Wrap(ErrPart, "part %q needs itself", name)
+			return trace.Wrap(ErrInvalidParts, "part %q needs itself", name)
 		case 2:
 			return nil
 		}
--- a/internal/operatorapi/service.go
+++ b/internal/operatorapi/service.go
@@ -52,17 +52,17 @@
 	}
 	c.Operator = principalOf(ctx).name
 	c.AtUnixMs = s.now().UnixMilli()
-	s.event(kernel.EventChangeAsked, c, "")
+	s.event(kernel.EventChangeRequested, c, "")
 	at := s.clock.Now()
 	c.At = &pb.Timestamp{WallUnixMs: at.WallUnixMs, Logical: at.Logical}
 	ctx, stop := context.WithTimeout(ctx, s.timeout)
 	defer stop()
 	_, err := s.submit(ctx, c)
 	if err != nil {
-		s.event(kernel.EventChangeFolded, c, err.Error())
+		s.event(kernel.EventChangeApplied, c, err.Error())
 		return asConnect(err)
 	}
-	s.event(kernel.EventChangeFolded, c, "accepted")
+	s.event(kernel.EventChangeApplied, c, "accepted")
 	return nil
 }
 
--- a/internal/records/part.go
+++ b/internal/records/part.go
@@ -76,7 +76,7 @@
 			for _, one := range s.readers {
 				one.asked = func(reason string) { t.Call("reading of "+one.log.topic.Name, reason) }
 			}
-			h.Metric("records", s.follower.vars)
+			h.AddMetric("records", s.follower.vars)
 			return s, nil
 		},
 	})
--- a/internal/reports/subscriber.go
+++ b/internal/reports/subscriber.go
@@ -69,7 +69,7 @@
 			r := NewSubscriber(c, s.Port, h.Identity.Domain, h.Part(facts.PartName).(*facts.Facts), clock.Now, h.Log)
 			t := h.Part(traffic.PartName).(*traffic.Part).Counter
 			r.sent = func(to id.Domain, bytes int) { t.Datagram(traffic.Subscriptions, to, bytes) }
-			h.Metric("reports", r.vars)
+			h.AddMetric("reports", r.vars)
 			return r, nil
 		},
 	})
--- a/internal/spread/turn.go
+++ b/internal/spread/turn.go
@@ -108,7 +108,7 @@
 		m := p.config.State().Rollout(id.Rollout(r.GetRollout()))
 		if m.GetState() == pb.RolloutState_ROLLOUT_STATE_ACTIVE && p.turns.Ask(m, r.GetStatus()) {
 			p.host.Events.Add(kernel.Event{
-				Kind: kernel.EventTurnGiven, Rollout: id.Rollout(r.GetRollout()),
+				Kind: kernel.EventSwapPermitGranted, Rollout: id.Rollout(r.GetRollout()),
 				Organisation: id.Organisation(m.GetOrganisation()), Detail: r.GetStatus().GetVm().GetId(),
 			})
 			return &pb.AskTurnResponse{Granted: true}, nil
--- a/internal/stager/part.go
+++ b/internal/stager/part.go
@@ -110,8 +110,8 @@
 	u.SlowAfter = slowUpload
 	u.Register(r.Handle)
 	r.Handle(springrailv1connect.NewSwarmServiceHandler(u))
-	h.Metric("swarm", expvar.Func(func() any { return g.stats.Read() }))
-	h.Metric("orders", g.orders)
+	h.AddMetric("swarm", expvar.Func(func() any { return g.stats.Read() }))
+	h.AddMetric("orders", g.orders)
 	return g
 }
 
--- a/internal/traffic/part.go
+++ b/internal/traffic/part.go
@@ -53,7 +53,7 @@
 			p := &Part{
 				Counter: New(h.Identity.Domain, regions, domains(f, h.Identity.Domain), time.Now), every: s.LogEvery, log: h.Log,
 			}
-			h.Metric(Field, p.Counter)
+			h.AddMetric(Field, p.Counter)
 			return p, nil
 		},
 	})
--- a/internal/transfer/draw.go
+++ b/internal/transfer/draw.go
@@ -73,7 +73,7 @@
 	d.originBytes.Add(got.OriginBytes)
 	good := err == nil && d.keep(c, got.Data, "the origin")
 	if good {
-		d.event(kernel.EventOriginDrawn, fmt.Sprintf("chunk %d", c))
+		d.event(kernel.EventOriginFetched, fmt.Sprintf("chunk %d", c))
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/transfer/part.go
+++ b/internal/transfer/part.go
@@ -114,8 +114,8 @@
 	if s.UplinkBytesPerSecond > 0 {
 		pace = rate.NewLimiter(rate.Limit(s.UplinkBytesPerSecond), writeBytes)
 	}
-	h.Metric("swarm", expvar.Func(func() any { return m.Counters() }))
-	h.Metric("swarm_memory_bytes", expvar.Func(func() any { return m.MemoryUsed() }))
+	h.AddMetric("swarm", expvar.Func(func() any { return m.Counters() }))
+	h.AddMetric("swarm_memory_bytes", expvar.Func(func() any { return m.MemoryUsed() }))
 	u := NewUploads(m.shelf, s.Uploads, pace, &m.stats)
 	u.Register(r.Handle)
 	r.Handle(springrailv1connect.NewSwarmServiceHandler(u))
@@ -239,6 +239,6 @@
 	ctx, stop := context.WithCancel(ctx)
 	d := &running{Download: NewDownload(m.env(), r, h, m.links(r)), stop: stop}
 	m.downloads[id.Rollout(r.GetId())] = d
-	d.event(kernel.EventRolloutLearnt, "")
+	d.event(kernel.EventRolloutAdded, "")
 	go d.Run(ctx)
 }
--- a/internal/upstream/door.go
+++ b/internal/upstream/door.go
@@ -190,7 +190,7 @@
 	if r.GetIdempotencyKey() != "" {
 		q.Header.Set("Idempotency-Key", r.GetIdempotencyKey())
 	}
-	d.event(kernel.EventRequestRun, r, "")
+	d.event(kernel.EventRequestStarted, r, "")
 	got, err := d.send(q, r.GetRepeatable())
 	if err != nil && rpc.NeverConnected(err) {
 		a.notRun()
