--- a/internal/config/fold.go
+++ b/internal/config/fold.go
@@ -28,9 +28,9 @@
 	namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._/:-]{0,127}$`)
 )
 
-// Fold applies the record at an offset. A record that is already folded changes nothing; a gap is ErrGap. A record
+// Apply applies the record at an offset. A record that is already folded changes nothing; a gap is ErrGap. A record
 // that can't be decoded changes nothing but the offset, the same way in every process.
-func (s *State) Fold(offset id.Offset, data []byte) error {
+func (s *State) Apply(offset id.Offset, data []byte) error {
 	if offset <= s.offset {
 		return nil
 	}
@@ -259,8 +259,8 @@
 	return time.UnixMilli(r.GetNotBeforeUnixMs())
 }
 
-// Targeted says whether a VM should hold the rollout's version.
-func Targeted(r *pb.Rollout, v *pb.VM) bool {
+// IsTarget says whether a VM should hold the rollout's version.
+func IsTarget(r *pb.Rollout, v *pb.VM) bool {
 	if v.GetRole() != "upstream" || !v.GetEngine() {
 		return false
 	}
--- a/internal/config/fold_test.go
+++ b/internal/config/fold_test.go
@@ -84,8 +84,8 @@
 				c := drawChange(t, n, whole)
 				log = append(log, encode(c))
 				known := whole.Outcome(id.Organisation(c.GetOrganisation()), id.Change(c.GetChangeId()))
-				before := proto.CloneOf(whole.Save())
-				if err := whole.Fold(id.Offset(len(log)), log[len(log)-1]); err != nil {
+				before := proto.CloneOf(whole.Snapshot())
+				if err := whole.Apply(id.Offset(len(log)), log[len(log)-1]); err != nil {
 					t.Fatal(err)
 				}
 				o := whole.Outcome(id.Organisation(c.GetOrganisation()), id.Change(c.GetChangeId()))
@@ -101,7 +101,7 @@
 				}
 				if known != nil || !o.GetAccepted() {
 					before.Offset, before.Outcomes = 0, nil
-					after := proto.CloneOf(whole.Save())
+					after := proto.CloneOf(whole.Snapshot())
 					after.Offset, after.Outcomes = 0, nil
 					if !proto.Equal(before, after) {
 						t.Fatalf("%s was rejected or a duplicate and changed the state", key)
@@ -111,19 +111,19 @@
 			}
 			cut := rapid.IntRange(0, len(log)).Draw(t, "snapshot")
 			for i := range cut {
-				_ = restarted.Fold(id.Offset(i+1), log[i])
+				_ = restarted.Apply(id.Offset(i+1), log[i])
 			}
-			raw, _ := proto.Marshal(restarted.Save())
+			raw, _ := proto.Marshal(restarted.Snapshot())
 			m := &pb.State{}
 			_ = proto.Unmarshal(raw, m)
-			restarted = Load(m)
+			restarted = FromSnapshot(m)
 			from := rapid.IntRange(0, cut).Draw(t, "again")
 			for i := from; i < len(log); i++ {
-				if err := restarted.Fold(id.Offset(i+1), log[i]); err != nil {
+				if err := restarted.Apply(id.Offset(i+1), log[i]); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if !proto.Equal(whole.Save(), restarted.Save()) {
+			if !proto.Equal(whole.Snapshot(), restarted.Snapshot()) {
 				t.Fatalf("a restart from a snapshot gives another state")
 			}
 		})
@@ -131,27 +131,27 @@
 
 	It("never skips a gap", func() {
 		s := NewState()
-		Expect(s.Fold(2, encode(&pb.Change{}))).To(MatchError(ErrGap))
+		Expect(s.Apply(2, encode(&pb.Change{}))).To(MatchError(ErrGap))
 		Expect(s.Offset()).To(BeZero())
 	})
 
 	It("counts a record that can't be decoded and goes on, the same way everywhere", func() {
 		s := NewState()
-		Expect(s.Fold(1, []byte{0xff})).To(MatchError(ErrRecord))
+		Expect(s.Apply(1, []byte{0xff})).To(MatchError(ErrInvalidRecord))
 		Expect(s.Offset()).To(Equal(id.Offset(1)))
-		Expect(s.Fold(2, encode(&pb.Change{ChangeId: "x"}))).To(Succeed())
+		Expect(s.Apply(2, encode(&pb.Change{ChangeId: "x"}))).To(Succeed())
 	})
 
 	It("holds organisations to their quotas", func() {
 		s := NewState()
-		Expect(s.Fold(1, encode(&pb.Change{ChangeId: "o", Organisation: "gym", Operation: &pb.Change_PutOrganisation{
+		Expect(s.Apply(1, encode(&pb.Change{ChangeId: "o", Organisation: "gym", Operation: &pb.Change_PutOrganisation{
 			PutOrganisation: &pb.PutOrganisation{Organisation: &pb.Organisation{Id: "gym", Quotas: &pb.Quotas{Rollouts: 1, VersionBytes: 10}}},
 		}}))).To(Succeed())
 		create := func(offset id.Offset, model string, bytes uint64) string {
 			r := rolloutOf("gym", fmt.Sprintf("r%d", offset), model)
 			r.Version.TotalBytes = bytes
 			c := &pb.Change{ChangeId: fmt.Sprint(offset), Organisation: "gym", Operation: &pb.Change_CreateRollout{CreateRollout: &pb.CreateRollout{Rollout: r}}}
-			Expect(s.Fold(offset, encode(c))).To(Succeed())
+			Expect(s.Apply(offset, encode(c))).To(Succeed())
 			return s.Outcome("gym", id.Change(fmt.Sprint(offset))).GetReason()
 		}
 		Expect(create(2, "a", 11)).To(ContainSubstring("10 bytes"))
@@ -165,11 +165,11 @@
 	f.Add([]byte{0x0a, 0x02, 0x0a, 0x00})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s := NewState()
-		_ = s.Fold(1, data)
+		_ = s.Apply(1, data)
 		if s.Offset() != 1 {
 			t.Fatalf("offset %d", s.Offset())
 		}
-		if !proto.Equal(s.Save(), Load(s.Save()).Save()) {
+		if !proto.Equal(s.Snapshot(), FromSnapshot(s.Snapshot()).Snapshot()) {
 			t.Fatal("a snapshot changes the state")
 		}
 	})
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -17,8 +17,8 @@
 var (
 	// ErrGap says that a record is not the next one; nothing was folded.
 	ErrGap = errors.New("records are missing before this one")
-	// ErrRecord says that a record can't be decoded.
-	ErrRecord = errors.New("record can't be decoded")
+	// ErrInvalidRecord says that a record can't be decoded.
+	ErrInvalidRecord = errors.New("record can't be decoded")
 )
 
 // outcomesKept bounds the changes whose outcome can be asked for: a week's at 550 a day.
@@ -52,8 +52,8 @@
 	}
 }
 
-// Load makes the state that a snapshot holds.
-func Load(m *pb.State) *State {
+// FromSnapshot makes the state that a snapshot holds.
+func FromSnapshot(m *pb.State) *State {
 	s := NewState()
 	s.offset = id.Offset(m.GetOffset())
 	for _, o := range m.GetOrganisations() {
@@ -69,8 +69,8 @@
 	return s
 }
 
-// Save returns the state as a message, in a fixed order.
-func (s *State) Save() *pb.State {
+// Snapshot returns the state as a message, in a fixed order.
+func (s *State) Snapshot() *pb.State {
 	m := &pb.State{Offset: uint64(s.offset), Organisations: s.Organisations(), Rollouts: s.Rollouts()}
 	for _, c := range s.outcomeOrder {
 		m.Outcomes = append(m.Outcomes, s.outcomes[c])
@@ -176,7 +176,7 @@
 func Decode(data []byte) (*pb.Record, error) {
 	r := &pb.Record{}
 	if err := proto.Unmarshal(data, r); err != nil {
-		return nil, trace.Wrap(errors.Join(ErrRecord, err))
+		return nil, trace.Wrap(errors.Join(ErrInvalidRecord, err))
 	}
 	return r, nil
 }
--- a/internal/configlog/part.go
+++ b/internal/configlog/part.go
@@ -130,7 +130,7 @@
 }
 
 func (p *Part) writeSnapshot(ctx context.Context) {
-	m := p.State().Save()
+	m := p.State().Snapshot()
 	data, err := proto.Marshal(&pb.Record{Body: &pb.Record_Snapshot{Snapshot: m}})
 	if err != nil {
 		p.host.Log.Error().Err(err).Msg("snapshot can't be encoded")
--- a/internal/configlog/store.go
+++ b/internal/configlog/store.go
@@ -75,7 +75,7 @@
 	var failed error
 	for _, r := range records {
 		before := next.Offset()
-		err := next.Fold(id.Offset(r.GetOffset()), r.GetData())
+		err := next.Apply(id.Offset(r.GetOffset()), r.GetData())
 		if next.Offset() == before {
 			if err != nil {
 				failed = err
@@ -113,7 +113,7 @@
 	if id.Offset(m.GetOffset()) <= s.state.Offset() {
 		return false
 	}
-	s.state = config.Load(m)
+	s.state = config.FromSnapshot(m)
 	s.recent = nil
 	s.notify()
 	return true
@@ -127,7 +127,7 @@
 		return nil, nil
 	}
 	if len(s.recent) == 0 || s.recent[0].GetOffset() > uint64(offset)+1 {
-		return nil, s.state.Save()
+		return nil, s.state.Snapshot()
 	}
 	skip := uint64(offset) + 1 - s.recent[0].GetOffset()
 	return s.recent[skip:], nil
--- a/internal/configlog/tail_test.go
+++ b/internal/configlog/tail_test.go
@@ -97,7 +97,7 @@
 			_, _ = f.append(ctx, data)
 			if i == 4 {
 				Expect(writer.step(ctx)).To(Succeed())
-				snapshot, _ := proto.Marshal(&pb.Record{Body: &pb.Record_Snapshot{Snapshot: full.State().Save()}})
+				snapshot, _ := proto.Marshal(&pb.Record{Body: &pb.Record_Snapshot{Snapshot: full.State().Snapshot()}})
 				_, _ = f.append(ctx, snapshot)
 			}
 		}
@@ -106,7 +106,7 @@
 		reader, s := newTail(f)
 		Expect(reader.step(ctx)).To(Succeed())
 		Expect(s.Ready()).To(BeTrue())
-		Expect(proto.Equal(s.State().Save(), full.State().Save())).To(BeTrue())
+		Expect(proto.Equal(s.State().Snapshot(), full.State().Snapshot())).To(BeTrue())
 	})
 
 	It("is not ready where the oldest records are gone and no snapshot replaces them", func() {
--- a/internal/measure/config.go
+++ b/internal/measure/config.go
@@ -225,7 +225,7 @@
 	if source == "peers" {
 		err = fromPeer(ctx, l, records)
 	} else {
-		err = fromLog(ctx, l, known.State().Save(), records, source == "snapshot")
+		err = fromLog(ctx, l, known.State().Snapshot(), records, source == "snapshot")
 	}
 	row.RecoverySeconds = time.Since(started).Seconds()
 	return row, err
--- a/internal/operatorapi/authority_test.go
+++ b/internal/operatorapi/authority_test.go
@@ -27,7 +27,7 @@
 		sum := sha256.Sum256([]byte(t))
 		m.Organisations = append(m.Organisations, &pb.Organisation{Id: o, OperatorTokenSha256: [][]byte{sum[:]}})
 	}
-	return config.Load(m)
+	return config.FromSnapshot(m)
 }
 
 // messageAbout makes a procedure's request about an organisation, wherever its schema holds the organisation.
--- a/internal/operatorapi/service.go
+++ b/internal/operatorapi/service.go
@@ -197,7 +197,7 @@
 func (s *Service) progress(r *pb.Rollout) []*pb.DomainProgress {
 	var targets []*pb.VM
 	for _, v := range s.vms().GetVms() {
-		if config.Targeted(r, v) {
+		if config.IsTarget(r, v) {
 			targets = append(targets, v)
 		}
 	}
--- a/internal/router/part.go
+++ b/internal/router/part.go
@@ -147,7 +147,7 @@
 	for _, v := range r.list.Get().GetVms() {
 		serves := v.GetRole() == membership.RoleUpstream && !v.GetEngine() && v.GetPool() == string(service)
 		if service == "" {
-			serves = rollout != nil && config.Targeted(rollout, v)
+			serves = rollout != nil && config.IsTarget(rollout, v)
 		}
 		if serves {
 			l = append(l, Candidate{VM: id.VM(v.GetId())})
--- a/internal/spread/turn.go
+++ b/internal/spread/turn.go
@@ -76,7 +76,7 @@
 	l := []activation.Replica{replicaOf(r, asking)}
 	for _, s := range statuses {
 		same := s.GetVm().GetDomain() == asking.GetVm().GetDomain() && s.GetVm().GetId() != asking.GetVm().GetId()
-		if same && !s.GetLeaving() && config.Targeted(r, s.GetVm()) {
+		if same && !s.GetLeaving() && config.IsTarget(r, s.GetVm()) {
 			l = append(l, replicaOf(r, s))
 		}
 	}
--- a/internal/transfer/links.go
+++ b/internal/transfer/links.go
@@ -56,7 +56,7 @@
 	var l []Member
 	self := false
 	for _, v := range m.follower.List.Get().GetVms() {
-		if !config.Targeted(r, v) {
+		if !config.IsTarget(r, v) {
 			continue
 		}
 		self = self || id.VM(v.GetId()) == m.self.VM
--- a/internal/transfer/part.go
+++ b/internal/transfer/part.go
@@ -175,7 +175,7 @@
 func (m *Manager) wanted() []*pb.Rollout {
 	var l []*pb.Rollout
 	for _, r := range m.follower.State().Active() {
-		if config.Targeted(r, m.follower.Self()) {
+		if config.IsTarget(r, m.follower.Self()) {
 			l = append(l, r)
 		}
 	}
