--- a/internal/configlog/change.go
+++ b/internal/configlog/change.go
@@ -13,8 +13,8 @@
 )
 
 var (
-	// ErrUnknown says that a change was not seen by the deadline; it may still come into force.
-	ErrUnknown = errors.New("outcome unknown")
+	// ErrOutcomeUnknown says that a change was not seen by the deadline; it may still come into force.
+	ErrOutcomeUnknown = errors.New("outcome unknown")
 	// ErrRejected says that the fold rejected a change.
 	ErrRejected = errors.New("change rejected")
 )
@@ -22,22 +22,22 @@
 // appendRetry is the pause before a change is appended again; a change ID that comes twice counts once.
 const appendRetry = 500 * time.Millisecond
 
-// Changer appends changes and answers once they are read back.
-type Changer struct {
+// ChangeWriter appends changes and answers once they are read back.
+type ChangeWriter struct {
 	store  *Store
 	append func(ctx context.Context, data []byte) (id.Offset, error)
 	// retry waits until a change may be appended again.
 	retry func() <-chan time.Time
 }
 
-// NewChanger makes a Changer over a store that a Tail keeps up to date.
-func NewChanger(s *Store, add func(ctx context.Context, data []byte) (id.Offset, error)) *Changer {
-	return &Changer{store: s, append: add, retry: func() <-chan time.Time { return time.After(appendRetry) }}
+// NewChangeWriter makes a Changer over a store that a Tail keeps up to date.
+func NewChangeWriter(s *Store, add func(ctx context.Context, data []byte) (id.Offset, error)) *ChangeWriter {
+	return &ChangeWriter{store: s, append: add, retry: func() <-chan time.Time { return time.After(appendRetry) }}
 }
 
 // Submit appends a change and waits until the store has folded it. The error is ErrRejected with the reason, or
 // ErrUnknown at the context's deadline.
-func (c *Changer) Submit(ctx context.Context, m *pb.Change) (*pb.ChangeOutcome, error) {
+func (c *ChangeWriter) Submit(ctx context.Context, m *pb.Change) (*pb.ChangeOutcome, error) {
 	data, err := proto.Marshal(&pb.Record{Body: &pb.Record_Change{Change: m}})
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -60,7 +60,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, trace.Wrap(ErrUnknown, "change %s: ask again with GetChange", m.GetChangeId())
+			return nil, trace.Wrap(ErrOutcomeUnknown, "change %s: ask again with GetChange", m.GetChangeId())
 		case <-changed:
 		case <-again:
 		}
@@ -68,7 +68,7 @@
 }
 
 // try appends once and says whether the log confirmed it.
-func (c *Changer) try(ctx context.Context, data []byte) bool {
+func (c *ChangeWriter) try(ctx context.Context, data []byte) bool {
 	_, err := c.append(ctx, data)
 	return err == nil
 }
--- a/internal/configlog/part.go
+++ b/internal/configlog/part.go
@@ -49,7 +49,7 @@
 // Part is the config log of an entry.
 type Part struct {
 	*Store
-	*Changer
+	*ChangeWriter
 	tail     *Tail
 	host     *kernel.Host
 	settings *Settings
@@ -63,7 +63,7 @@
 	p := h.Part(platform.PartName).(*platform.Client)
 	s := NewStore(h.Clock.Observe)
 	c := &Part{Store: s, host: h, settings: h.Section("config_log").(*Settings), platform: p}
-	c.Changer = NewChanger(s, p.Append)
+	c.ChangeWriter = NewChangeWriter(s, p.Append)
 	h.AddMetric("config_offset", expvar.Func(func() any { return s.State().Offset() }))
 	c.tail = NewTail(s, h.Log, p.Read, c.fromPeers)
 	return c, nil
--- a/internal/configlog/store.go
+++ b/internal/configlog/store.go
@@ -65,9 +65,9 @@
 	s.change = make(chan struct{})
 }
 
-// Fold applies records in order and returns how many were new. Records that can't be decoded are skipped, as in
+// Apply applies records in order and returns how many were new. Records that can't be decoded are skipped, as in
 // every other process; a gap stops the fold with config.ErrGap.
-func (s *Store) Fold(records []*pb.LogRecord) (int, error) {
+func (s *Store) Apply(records []*pb.LogRecord) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := s.state.Clone()
@@ -106,8 +106,8 @@
 	}
 }
 
-// Adopt takes a snapshot if it is ahead of the store and says whether it did.
-func (s *Store) Adopt(m *pb.State) bool {
+// RestoreSnapshot takes a snapshot if it is ahead of the store and says whether it did.
+func (s *Store) RestoreSnapshot(m *pb.State) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if id.Offset(m.GetOffset()) <= s.state.Offset() {
@@ -119,8 +119,8 @@
 	return true
 }
 
-// After returns the records after an offset, or a snapshot where they are no longer held.
-func (s *Store) After(offset id.Offset) ([]*pb.LogRecord, *pb.State) {
+// RecordsAfter returns the records after an offset, or a snapshot where they are no longer held.
+func (s *Store) RecordsAfter(offset id.Offset) ([]*pb.LogRecord, *pb.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if offset >= s.state.Offset() {
--- a/internal/configlog/tail.go
+++ b/internal/configlog/tail.go
@@ -94,7 +94,7 @@
 }
 
 func (t *Tail) fold(records []*pb.LogRecord) error {
-	_, err := t.store.Fold(records)
+	_, err := t.store.Apply(records)
 	for _, r := range records {
 		t.noteSnapshot(r)
 	}
@@ -143,12 +143,12 @@
 	if best == nil {
 		return trace.Wrap(ErrNoSnapshot, "oldest record %d", b.First)
 	}
-	t.store.Adopt(best)
+	t.store.RestoreSnapshot(best)
 	start := t.store.State().Offset()
 	for len(held) > 0 && id.Offset(held[0].GetOffset()) <= start {
 		held = held[1:]
 	}
-	if _, err := t.store.Fold(held); err != nil {
+	if _, err := t.store.Apply(held); err != nil {
 		return err
 	}
 	t.store.SetReady()
--- a/internal/configlog/tail_test.go
+++ b/internal/configlog/tail_test.go
@@ -139,7 +139,7 @@
 					time.Sleep(20 * time.Microsecond)
 				}
 			}()
-			c := NewChanger(s, f.append)
+			c := NewChangeWriter(s, f.append)
 			c.retry = func() <-chan time.Time { return time.After(20 * time.Microsecond) }
 			for i := range rapid.IntRange(1, 3).Draw(t, "changes") {
 				ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -231,9 +231,9 @@
 
 func (f *Follower) take(a *pb.SyncResponse) error {
 	if a.GetState() != nil {
-		f.Adopt(a.GetState())
+		f.RestoreSnapshot(a.GetState())
 	}
-	if _, err := f.Fold(a.GetRecords()); err != nil {
+	if _, err := f.Apply(a.GetRecords()); err != nil {
 		return err
 	}
 	if a.GetVmList() != nil {
--- a/internal/measure/config.go
+++ b/internal/measure/config.go
@@ -239,9 +239,9 @@
 		return err
 	}
 	if a.GetState() != nil {
-		s.Adopt(a.GetState())
+		s.RestoreSnapshot(a.GetState())
 	}
-	if _, err := s.Fold(a.GetRecords()); err != nil {
+	if _, err := s.Apply(a.GetRecords()); err != nil {
 		return err
 	}
 	return checkOffset(s, records)
--- a/internal/operatorapi/part.go
+++ b/internal/operatorapi/part.go
@@ -144,7 +144,7 @@
 		return connect.NewError(connect.CodeUnauthenticated, ErrToken)
 	case errors.Is(err, ErrNotFound):
 		return connect.NewError(connect.CodeNotFound, ErrNotFound)
-	case errors.Is(err, configlog.ErrUnknown):
+	case errors.Is(err, configlog.ErrOutcomeUnknown):
 		return connect.NewError(connect.CodeDeadlineExceeded, errors.New(trace.UserMessage(err)))
 	case errors.Is(err, configlog.ErrRejected):
 		return connect.NewError(connect.CodeFailedPrecondition, errors.New(trace.UserMessage(err)))
--- a/internal/spread/gossip.go
+++ b/internal/spread/gossip.go
@@ -105,12 +105,12 @@
 		return err
 	}
 	if a.GetState() != nil {
-		p.config.Adopt(a.GetState())
+		p.config.RestoreSnapshot(a.GetState())
 	}
 	if a.GetVmList() != nil {
 		p.members.List.Set(a.GetVmList())
 	}
-	_, err = p.config.Fold(a.GetRecords())
+	_, err = p.config.Apply(a.GetRecords())
 	return err
 }
 
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -107,7 +107,7 @@
 
 func (p *Part) answer(r *pb.SyncRequest) *pb.SyncResponse {
 	a := &pb.SyncResponse{}
-	a.Records, a.State = p.config.After(id.Offset(r.GetOffset()))
+	a.Records, a.State = p.config.RecordsAfter(id.Offset(r.GetOffset()))
 	if l := p.members.List.Get(); l.GetVersion() > r.GetVmListVersion() {
 		a.VmList = l
 	}
