--- a/internal/operatorapi/authority.go
+++ b/internal/operatorapi/authority.go
@@ -16,8 +16,8 @@
 )
 
 var (
-	// ErrToken says that a call shows no token that is in force.
-	ErrToken = errors.New("the call needs the header Authorization: Bearer with an operator token that is in force")
+	// ErrUnauthenticated says that a call shows no token that is in force.
+	ErrUnauthenticated = errors.New("the call needs the header Authorization: Bearer with an operator token that is in force")
 	// ErrNotFound says that there is no such thing, or that it belongs to another organisation.
 	ErrNotFound = errors.New("not found")
 )
@@ -74,22 +74,22 @@
 	return id.Organisation(r.GetOrganisation()), true
 }
 
-// Authority is the one place that decides who may call what.
-type Authority struct {
+// AuthInterceptor is the one place that decides who may call what.
+type AuthInterceptor struct {
 	admins [][]byte
 	state  func() *config.State
 }
 
-// NewAuthority makes it from the SHA-256 of the administrators' tokens and the configuration.
-func NewAuthority(admins [][]byte, state func() *config.State) *Authority {
-	return &Authority{admins: admins, state: state}
+// NewAuthInterceptor makes it from the SHA-256 of the administrators' tokens and the configuration.
+func NewAuthInterceptor(admins [][]byte, state func() *config.State) *AuthInterceptor {
+	return &AuthInterceptor{admins: admins, state: state}
 }
 
 // identify finds whose token a call shows.
-func (a *Authority) identify(authorization string) (principal, error) {
+func (a *AuthInterceptor) identify(authorization string) (principal, error) {
 	token, ok := strings.CutPrefix(authorization, "Bearer ")
 	if !ok || token == "" {
-		return principal{}, ErrToken
+		return principal{}, ErrUnauthenticated
 	}
 	sum := sha256.Sum256([]byte(token))
 	same := func(h []byte) bool { return string(h) == string(sum[:]) }
@@ -101,11 +101,11 @@
 			return principal{organisation: id.Organisation(o.GetId()), name: "operator of " + o.GetId()}, nil
 		}
 	}
-	return principal{}, ErrToken
+	return principal{}, ErrUnauthenticated
 }
 
 // allow decides about one message of a procedure.
-func (a *Authority) allow(p principal, procedure string, message any) error {
+func (a *AuthInterceptor) allow(p principal, procedure string, message any) error {
 	subject := subjects[procedure]
 	if subject == nil {
 		return ErrNotFound
@@ -127,7 +127,7 @@
 }
 
 // WrapUnary implements connect.Interceptor.
-func (a *Authority) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
+func (a *AuthInterceptor) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, r connect.AnyRequest) (connect.AnyResponse, error) {
 		p, err := a.identify(r.Header().Get("Authorization"))
 		if err != nil {
@@ -141,12 +141,12 @@
 }
 
 // WrapStreamingClient implements connect.Interceptor.
-func (a *Authority) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
+func (a *AuthInterceptor) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
 	return next
 }
 
 // WrapStreamingHandler implements connect.Interceptor: each message that is received is decided about.
-func (a *Authority) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
+func (a *AuthInterceptor) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return func(ctx context.Context, c connect.StreamingHandlerConn) error {
 		p, err := a.identify(c.RequestHeader().Get("Authorization"))
 		if err != nil {
@@ -159,7 +159,7 @@
 // checkedConn decides about each message of a stream.
 type checkedConn struct {
 	connect.StreamingHandlerConn
-	authority *Authority
+	authority *AuthInterceptor
 	caller    principal
 }
 
--- a/internal/operatorapi/authority_test.go
+++ b/internal/operatorapi/authority_test.go
@@ -59,7 +59,7 @@
 var _ = Describe("authority", func() {
 	service := pb.File_springrail_v1_operator_proto.Services().ByName("OperatorService")
 	admin := sha256.Sum256([]byte("admin"))
-	authority := NewAuthority([][]byte{admin[:]}, func() *config.State {
+	authority := NewAuthInterceptor([][]byte{admin[:]}, func() *config.State {
 		return stateOf(map[string]string{"gym": "gym-token", "hut": "hut-token"})
 	})
 
@@ -94,7 +94,7 @@
 
 	DescribeTable("refuses calls without a token that is in force", func(header string) {
 		_, err := authority.identify(header)
-		Expect(err).To(MatchError(ErrToken))
+		Expect(err).To(MatchError(ErrUnauthenticated))
 	},
 		Entry("none", ""), Entry("no scheme", "gym-token"), Entry("empty", "Bearer "),
 		Entry("wrong", "Bearer other"), Entry("a hash", "Bearer "+string(admin[:])))
--- a/internal/operatorapi/part.go
+++ b/internal/operatorapi/part.go
@@ -122,7 +122,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.Handle(rpcs.NewOperatorServiceHandler(p.service,
-		connect.WithInterceptors(NewAuthority(admins, p.state)), connect.WithReadMaxBytes(maxMessage)))
+		connect.WithInterceptors(NewAuthInterceptor(admins, p.state)), connect.WithReadMaxBytes(maxMessage)))
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
 	protocols.SetHTTP2(true)
@@ -140,8 +140,8 @@
 	switch {
 	case err == nil || errors.As(err, &already):
 		return err
-	case errors.Is(err, ErrToken):
-		return connect.NewError(connect.CodeUnauthenticated, ErrToken)
+	case errors.Is(err, ErrUnauthenticated):
+		return connect.NewError(connect.CodeUnauthenticated, ErrUnauthenticated)
 	case errors.Is(err, ErrNotFound):
 		return connect.NewError(connect.CodeNotFound, ErrNotFound)
 	case errors.Is(err, configlog.ErrOutcomeUnknown):
