--- a/internal/fleet/entry.go
+++ b/internal/fleet/entry.go
@@ -48,7 +48,7 @@
 	}
 	e.host, err = f.hostOf(string(e.VM), f.domain(i), parts, clock, s, dial, func(m map[string]kernel.Section) {
 		n := m["membership"].(*membership.Settings)
-		n.ListEvery, n.GossipEvery, n.FarEvery = 200*time.Millisecond, 200*time.Millisecond, 300*time.Millisecond
+		n.ListInterval, n.GossipInterval, n.RemoteGossipInterval = 200*time.Millisecond, 200*time.Millisecond, 300*time.Millisecond
 		if f.size.Serving {
 			sum := sha256.Sum256([]byte(AdminToken))
 			c, o := m["caller"].(*callerapi.Settings), m["operator"].(*operatorapi.Settings)
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -157,7 +157,7 @@
 	}
 	best := candidates[0]
 	for _, a := range candidates {
-		if time.Since(f.failed[a]) > membership.GoneAfter {
+		if time.Since(f.failed[a]) > membership.HeartbeatTimeout {
 			return a, nil
 		}
 		if f.failed[a].Before(f.failed[best]) {
--- a/internal/membership/part.go
+++ b/internal/membership/part.go
@@ -13,21 +13,21 @@
 
 // Settings is the section [membership].
 type Settings struct {
-	// ListEvery is how often the platform's VM list is read.
-	ListEvery time.Duration `toml:"list_every"`
-	// GossipEvery is how often an entry asks another one of its failure domain for statuses.
-	GossipEvery time.Duration `toml:"gossip_every"`
-	// FarEvery is how often it asks one of another failure domain.
-	FarEvery time.Duration `toml:"far_every"`
+	// ListInterval is how often the platform's VM list is read.
+	ListInterval time.Duration `toml:"list_every"`
+	// GossipInterval is how often an entry asks another one of its failure domain for statuses.
+	GossipInterval time.Duration `toml:"gossip_every"`
+	// RemoteGossipInterval is how often it asks one of another failure domain.
+	RemoteGossipInterval time.Duration `toml:"far_every"`
 }
 
 // Check implements kernel.Section.
 func (s *Settings) Check(c *kernel.Checker) {
 	ok := func(d time.Duration) bool { return d >= 50*time.Millisecond && d <= time.Minute }
 	const want = "a time from 50ms to 1m"
-	c.Require(ok(s.ListEvery), "list_every", want)
-	c.Require(ok(s.GossipEvery), "gossip_every", want)
-	c.Require(ok(s.FarEvery), "far_every", want)
+	c.Require(ok(s.ListInterval), "list_every", want)
+	c.Require(ok(s.GossipInterval), "gossip_every", want)
+	c.Require(ok(s.RemoteGossipInterval), "far_every", want)
 }
 
 func init() {
@@ -36,7 +36,7 @@
 		Section: "membership",
 		Needs:   []string{platform.PartName},
 		Settings: func() kernel.Section {
-			return &Settings{ListEvery: time.Second, GossipEvery: 500 * time.Millisecond, FarEvery: 3 * time.Second}
+			return &Settings{ListInterval: time.Second, GossipInterval: 500 * time.Millisecond, RemoteGossipInterval: 3 * time.Second}
 		},
 		New: func(h *kernel.Host) (any, error) {
 			return &Part{
@@ -61,6 +61,6 @@
 
 // Run reads the VM list until the context ends.
 func (p *Part) Run(ctx context.Context) error {
-	p.List.Poll(ctx, p.Settings.ListEvery, p.host.Log, p.platform.ListVMs)
+	p.List.Poll(ctx, p.Settings.ListInterval, p.host.Log, p.platform.ListVMs)
 	return nil
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// GoneAfter is how long a home entry waits for an agent's next heartbeat.
-	GoneAfter = 5 * time.Second
-	// OwnerStaleAfter is how long an owner's statuses are believed without a sign of the owner.
-	OwnerStaleAfter = 10 * time.Second
+	// HeartbeatTimeout is how long a home entry waits for an agent's next heartbeat.
+	HeartbeatTimeout = 5 * time.Second
+	// OwnerTimeout is how long an owner's statuses are believed without a sign of the owner.
+	OwnerTimeout = 10 * time.Second
 )
 
 // owned is a status with the owner's number for it.
@@ -64,8 +64,8 @@
 	t.change = make(chan struct{})
 }
 
-// Heartbeat notes a status that an agent sent to this entry.
-func (t *Table) Heartbeat(s *pb.VMStatus) {
+// RecordHeartbeat notes a status that an agent sent to this entry.
+func (t *Table) RecordHeartbeat(s *pb.VMStatus) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o := t.owners[t.self]
@@ -96,7 +96,7 @@
 	o.update++
 	o.heard = t.now()
 	for _, h := range o.vms {
-		if !h.gone && t.now().Sub(h.heard) > GoneAfter {
+		if !h.gone && t.now().Sub(h.heard) > HeartbeatTimeout {
 			o.update++
 			h.gone, h.update = true, o.update
 			t.notify()
@@ -117,8 +117,8 @@
 	return l
 }
 
-// Newer returns what the table has beyond the versions.
-func (t *Table) Newer(versions []*pb.OwnerVersion, d id.Domain) []*pb.OwnerUpdate {
+// UpdatesSince returns what the table has beyond the versions.
+func (t *Table) UpdatesSince(versions []*pb.OwnerVersion, d id.Domain) []*pb.OwnerUpdate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	have := map[id.VM]*pb.OwnerVersion{}
@@ -190,8 +190,8 @@
 	}
 }
 
-// Forget drops owners that have been silent for much longer than they are believed.
-func (t *Table) Forget(after time.Duration) {
+// RemoveSilentOwners drops owners that have been silent for much longer than they are believed.
+func (t *Table) RemoveSilentOwners(after time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, o := range t.owners {
@@ -206,7 +206,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o := t.owners[v]
-	return o != nil && t.now().Sub(o.heard) < OwnerStaleAfter
+	return o != nil && t.now().Sub(o.heard) < OwnerTimeout
 }
 
 // Statuses returns the newest status of each VM that an owner believed alive vouches for, by name.
@@ -215,7 +215,7 @@
 	defer t.mu.Unlock()
 	best := map[id.VM]*owned{}
 	for _, o := range t.owners {
-		if t.now().Sub(o.heard) > OwnerStaleAfter {
+		if t.now().Sub(o.heard) > OwnerTimeout {
 			continue
 		}
 		for name, h := range o.vms {
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -36,7 +36,7 @@
 			for range rapid.IntRange(1, 30).Draw(t, "steps") {
 				i, j := rapid.IntRange(0, 2).Draw(t, "to"), rapid.IntRange(0, 2).Draw(t, "from")
 				if rapid.Bool().Draw(t, "gossip") {
-					tables[i].Merge(tables[j].Newer(tables[i].Versions("a"), "a"))
+					tables[i].Merge(tables[j].UpdatesSince(tables[i].Versions("a"), "a"))
 					continue
 				}
 				vm := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "vm")
@@ -45,12 +45,12 @@
 					s = statusOf(vm, newest[vm].GetIncarnation()+1, 0)
 				}
 				newest[vm] = s
-				tables[i].Heartbeat(s)
+				tables[i].RecordHeartbeat(s)
 			}
 			for range 2 {
 				for i := range tables {
 					for j := range tables {
-						tables[i].Merge(tables[j].Newer(tables[i].Versions(""), ""))
+						tables[i].Merge(tables[j].UpdatesSince(tables[i].Versions(""), ""))
 					}
 				}
 			}
@@ -71,18 +71,18 @@
 		now := time.Unix(1000, 0)
 		clock := func() time.Time { return now }
 		a, b := NewTable("a", "d", clock), NewTable("b", "d", clock)
-		a.Heartbeat(statusOf("x", 1, 1))
-		b.Merge(a.Newer(b.Versions(""), ""))
+		a.RecordHeartbeat(statusOf("x", 1, 1))
+		b.Merge(a.UpdatesSince(b.Versions(""), ""))
 		Expect(b.Statuses()).To(HaveLen(1))
-		now = now.Add(GoneAfter + time.Second)
+		now = now.Add(HeartbeatTimeout + time.Second)
 		a.Tick()
-		b.Merge(a.Newer(b.Versions(""), ""))
+		b.Merge(a.UpdatesSince(b.Versions(""), ""))
 		Expect(b.Statuses()).To(BeEmpty())
-		b.Heartbeat(statusOf("x", 1, 2))
+		b.RecordHeartbeat(statusOf("x", 1, 2))
 		Expect(b.Statuses()).To(HaveLen(1))
-		a.Merge(b.Newer(a.Versions(""), ""))
+		a.Merge(b.UpdatesSince(a.Versions(""), ""))
 		Expect(a.Statuses()).To(HaveLen(1))
-		now = now.Add(OwnerStaleAfter + time.Second)
+		now = now.Add(OwnerTimeout + time.Second)
 		a.Tick()
 		Expect(a.Statuses()).To(BeEmpty())
 	})
--- a/internal/spread/gossip.go
+++ b/internal/spread/gossip.go
@@ -26,10 +26,10 @@
 func (p *Part) Run(ctx context.Context) error {
 	go p.every(ctx, tickEvery, func() {
 		p.members.Table.Tick()
-		p.members.Table.Forget(forgetAfter)
+		p.members.Table.RemoveSilentOwners(forgetAfter)
 	})
-	go p.every(ctx, p.members.Settings.FarEvery, func() { p.ask(ctx, p.farEntries(), "") })
-	p.every(ctx, p.members.Settings.GossipEvery, func() {
+	go p.every(ctx, p.members.Settings.RemoteGossipInterval, func() { p.ask(ctx, p.farEntries(), "") })
+	p.every(ctx, p.members.Settings.GossipInterval, func() {
 		p.ask(ctx, p.others(p.host.Identity.Domain), p.host.Identity.Domain)
 	})
 	return nil
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -72,7 +72,7 @@
 // Sync takes a heartbeat and answers once there is something new for the caller.
 func (p *Part) Sync(ctx context.Context, r *pb.SyncRequest) (*pb.SyncResponse, error) {
 	if s := r.GetStatus(); s != nil {
-		p.members.Table.Heartbeat(s)
+		p.members.Table.RecordHeartbeat(s)
 	}
 	if !p.config.Ready() {
 		return nil, connect.NewError(connect.CodeUnavailable, trace.Errorf("this entry has no configuration yet"))
@@ -116,5 +116,5 @@
 
 // Exchange returns the statuses that the caller lacks.
 func (p *Part) Exchange(_ context.Context, r *pb.ExchangeRequest) (*pb.ExchangeResponse, error) {
-	return &pb.ExchangeResponse{Updates: p.members.Table.Newer(r.GetVersions(), id.Domain(r.GetDomain()))}, nil
+	return &pb.ExchangeResponse{Updates: p.members.Table.UpdatesSince(r.GetVersions(), id.Domain(r.GetDomain()))}, nil
 }
