--- a/internal/dispatch/try.go
+++ b/internal/dispatch/try.go
@@ -95,7 +95,7 @@
 
 // broken is a connection that failed: not run only if it was never made.
 func (t *try) broken(err error) error {
-	if rpc.NeverConnected(err) && !t.started {
+	if rpc.IsDialError(err) && !t.started {
 		t.dispatcher.router.MarkUnreachable(t.candidate.VM)
 		return &NotRun{RetryAfter: defaultRetry, Detail: "the upstream's VM takes no connection"}
 	}
--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -60,7 +60,7 @@
 	a := &Agent{VM: id.VM(fmt.Sprintf("vm-%03d", i)), Domain: f.domain(i), ended: make(chan struct{})}
 	a.Link = newLink(a.Domain, f.size.LinkBytesPerSecond, f.size.HalfDuplex, f.reachable)
 	dial, clock := a.Link.dialer(f.lookup), f.clock(i+1)
-	a.server = rpc.NewShaped(a.Link.Listener(l), dial, clock)
+	a.server = rpc.NewWithDialer(a.Link.Listener(l), dial, clock)
 	parts, url := slices.Clone(agentParts), ""
 	if f.size.Serving {
 		parts = append(parts, servingAgentParts...)
--- a/internal/fleet/entry.go
+++ b/internal/fleet/entry.go
@@ -41,7 +41,7 @@
 	}
 	e := &Entry{VM: id.VM(fmt.Sprintf("entry-%d", i)), ended: make(chan struct{})}
 	dial, clock := (&net.Dialer{}).DialContext, f.clock(i)
-	s := rpc.NewShaped(l, dial, clock)
+	s := rpc.NewWithDialer(l, dial, clock)
 	parts := slices.Clone(entryParts)
 	if f.size.Serving {
 		parts = append(parts, servingEntryParts...)
--- a/internal/records/part.go
+++ b/internal/records/part.go
@@ -72,7 +72,7 @@
 			}
 			r.Handle(springrailv1connect.NewRecordServiceHandler(s.service, connect.WithReadMaxBytes(mostQuestion)))
 			t := h.Part(traffic.PartName).(*traffic.Part).Counter
-			r.Count(t)
+			r.CountTraffic(t)
 			for _, one := range s.readers {
 				one.asked = func(reason string) { t.Call("reading of "+one.log.topic.Name, reason) }
 			}
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -92,8 +92,8 @@
 	return "http://" + address
 }
 
-// Bulk is the client for chunks.
-func (s *Server) Bulk() *http.Client {
+// ChunkClient is the client for chunks.
+func (s *Server) ChunkClient() *http.Client {
 	return s.bulk
 }
 
@@ -158,8 +158,8 @@
 	return s.peer(address).records
 }
 
-// NeverConnected says that an error is from making the connection, so that no byte of a request was sent.
-func NeverConnected(err error) bool {
+// IsDialError says that an error is from making the connection, so that no byte of a request was sent.
+func IsDialError(err error) bool {
 	var o *net.OpError
 	return errors.As(err, &o) && o.Op == "dial"
 }
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -83,8 +83,8 @@
 	return r, nil
 }
 
-// NewShaped makes a plain server over a listener and a dialer of the caller's, for experiments with shaped links.
-func NewShaped(l net.Listener, dial func(ctx context.Context, network, address string) (net.Conn, error),
+// NewWithDialer makes a plain server over a listener and a dialer of the caller's, for experiments with shaped links.
+func NewWithDialer(l net.Listener, dial func(ctx context.Context, network, address string) (net.Conn, error),
 	c *kernel.Clock,
 ) *Server {
 	r := &Server{listener: l, clock: c, mux: http.NewServeMux(), dial: dial}
@@ -92,8 +92,8 @@
 	return r
 }
 
-// Count has what is sent to other processes counted from now on.
-func (s *Server) Count(c *traffic.Counter) {
+// CountTraffic has what is sent to other processes counted from now on.
+func (s *Server) CountTraffic(c *traffic.Counter) {
 	s.counter.Store(c)
 }
 
--- a/internal/rpc/stop_test.go
+++ b/internal/rpc/stop_test.go
@@ -38,7 +38,7 @@
 func stoppedAnswer() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
-	s := NewShaped(l, (&net.Dialer{}).DialContext, kernel.NewClock(time.Now))
+	s := NewWithDialer(l, (&net.Dialer{}).DialContext, kernel.NewClock(time.Now))
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	s.Handle("/answer", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/rpc/tls.go
+++ b/internal/rpc/tls.go
@@ -13,8 +13,8 @@
 	"github.com/gravitational/trace"
 )
 
-// ErrKeys says that the fleet's key files can't be used.
-var ErrKeys = errors.New("key files can't be used")
+// ErrTLSFiles says that the fleet's key files can't be used.
+var ErrTLSFiles = errors.New("key files can't be used")
 
 // keyRecheck is how long loaded keys are used before the files are looked at again.
 const keyRecheck = 2 * time.Second
@@ -38,15 +38,15 @@
 func (k *keys) read() error {
 	cert, err := tls.LoadX509KeyPair(k.certFile, k.keyFile)
 	if err != nil {
-		return trace.Wrap(errors.Join(ErrKeys, err), "certificate %s with key %s", k.certFile, k.keyFile)
+		return trace.Wrap(errors.Join(ErrTLSFiles, err), "certificate %s with key %s", k.certFile, k.keyFile)
 	}
 	pem, err := os.ReadFile(k.caFile)
 	if err != nil {
-		return trace.Wrap(errors.Join(ErrKeys, err), "authority %s", k.caFile)
+		return trace.Wrap(errors.Join(ErrTLSFiles, err), "authority %s", k.caFile)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return trace.Wrap(ErrKeys, "authority %s holds no certificate", k.caFile)
+		return trace.Wrap(ErrTLSFiles, "authority %s holds no certificate", k.caFile)
 	}
 	k.cert, k.pool = &cert, pool
 	return nil
--- a/internal/rpc/tls_test.go
+++ b/internal/rpc/tls_test.go
@@ -78,7 +78,7 @@
 }
 
 func ask(from, to *Server) (string, error) {
-	a, err := from.Bulk().Get(to.URL(to.Address()) + "/who")
+	a, err := from.ChunkClient().Get(to.URL(to.Address()) + "/who")
 	if err != nil {
 		return "", err
 	}
@@ -128,7 +128,7 @@
 		s := newAuthority().settings(GinkgoT().TempDir(), soon())
 		Expect(os.WriteFile(s.Key, []byte("no key"), 0o600)).To(Succeed())
 		_, err := New(s, kernel.NewClock(time.Now))
-		Expect(errors.Is(err, ErrKeys)).To(BeTrue())
+		Expect(errors.Is(err, ErrTLSFiles)).To(BeTrue())
 		Expect(err.Error()).To(ContainSubstring(s.Key))
 	})
 })
--- a/internal/transfer/links.go
+++ b/internal/transfer/links.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	a, err := s.Bulk().Do(r)
+	a, err := s.ChunkClient().Do(r)
 	if err != nil {
 		return nil, trace.Wrap(errors.Join(ErrPeer, err))
 	}
--- a/internal/upstream/door.go
+++ b/internal/upstream/door.go
@@ -192,7 +192,7 @@
 	}
 	d.event(kernel.EventRequestStarted, r, "")
 	got, err := d.send(q, r.GetRepeatable())
-	if err != nil && rpc.NeverConnected(err) {
+	if err != nil && rpc.IsDialError(err) {
 		a.notRun()
 		return d.refuse(a, &refusal{reason: pb.RefusalReason_REFUSAL_REASON_UPSTREAM_DOWN, detail: "the upstream took no connection"})
 	}
