--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -54,13 +54,13 @@
 	return system.Now()
 }
 
-// In is the time of the standard library after a duration, for connections, which know no other clock.
-func In(d time.Duration) time.Time {
+// DeadlineAfter is the time of the standard library after a duration, for connections, which know no other clock.
+func DeadlineAfter(d time.Duration) time.Time {
 	return time.Now().Add(d)
 }
 
-// Left is the duration until a time of the standard library, such as a context's deadline.
-func Left(t time.Time) time.Duration {
+// Until is the duration until a time of the standard library, such as a context's deadline.
+func Until(t time.Time) time.Duration {
 	return time.Until(t)
 }
 
@@ -70,8 +70,8 @@
 	return system.Suspended()
 }
 
-// Failed counts the readings of the system's clock that failed: suspensions are not seen then.
-func Failed() int64 {
+// FailedReadings counts the readings of the system's clock that failed: suspensions are not seen then.
+func FailedReadings() int64 {
 	return system.failed.Load()
 }
 
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -78,7 +78,7 @@
 
 	It("is that of this VM", func() {
 		Expect(Now().Sub(time.Now())).To(BeNumerically("~", Suspended(), 10*time.Millisecond))
-		Expect(Failed()).To(BeZero())
+		Expect(FailedReadings()).To(BeZero())
 	})
 })
 
--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -200,7 +200,7 @@
 	g.leaving.Store(true)
 	until, ok := ctx.Deadline()
 	if ok {
-		left := time.Duration(leaveShare * float64(clock.Left(until)))
+		left := time.Duration(leaveShare * float64(clock.Until(until)))
 		var stop context.CancelFunc
 		ctx, stop = context.WithTimeout(ctx, left)
 		defer stop()
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -177,7 +177,7 @@
 	if f.request.ContentLength == 0 {
 		return true
 	}
-	_ = http.NewResponseController(f.w).SetReadDeadline(clock.In(f.left()))
+	_ = http.NewResponseController(f.w).SetReadDeadline(clock.DeadlineAfter(f.left()))
 	limit := int64(f.catalog.Limits.BodyBytes)
 	if limit <= 0 {
 		limit = heldBody
@@ -206,7 +206,7 @@
 func (f *flight) run() {
 	ctx, stop := context.WithTimeout(f.ctx, f.left())
 	defer stop()
-	_ = http.NewResponseController(f.w).SetWriteDeadline(clock.In(f.left() + callerSlack))
+	_ = http.NewResponseController(f.w).SetWriteDeadline(clock.DeadlineAfter(f.left() + callerSlack))
 	f.gateway.budget.RecordRequest(f.pool)
 	for {
 		next := f.attempt(ctx)
