--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -9,11 +9,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Unacked is how long bytes that were sent may stay without an acknowledgement. A connection may go silent for good, without
+// AckTimeout is how long bytes that were sent may stay without an acknowledgement. A connection may go silent for good, without
 // a reset, while new ones work: without this, what is sent on it waits until its own deadline, and a kept connection is
 // used again. On a link whose packets wait half a second, which counts as slowed (the users' rules), an acknowledgement
 // takes a second at the most.
-const Unacked = 1500 * time.Millisecond
+const AckTimeout = 1500 * time.Millisecond
 
 // New makes a dialer that gives connections up whose bytes are not acknowledged; it waits up to a time for a new one.
 func New(timeout time.Duration) *net.Dialer {
@@ -24,7 +24,7 @@
 func control(_, _ string, c syscall.RawConn) error {
 	var err error
 	e := c.Control(func(fd uintptr) {
-		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(Unacked.Milliseconds()))
+		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(AckTimeout.Milliseconds()))
 	})
 	if e != nil {
 		return e
--- a/internal/dial/dial_test.go
+++ b/internal/dial/dial_test.go
@@ -31,6 +31,6 @@
 			got, err = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 		})).To(Succeed())
 		Expect(err).NotTo(HaveOccurred())
-		Expect(got).To(Equal(int(Unacked.Milliseconds())))
+		Expect(got).To(Equal(int(AckTimeout.Milliseconds())))
 	})
 })
