--- a/internal/decide/engine.go
+++ b/internal/decide/engine.go
@@ -24,7 +24,7 @@
 	name    id.Instance
 	address string
 	domain  id.Domain
-	born    id.Birth
+	born    id.Incarnation
 	// up is false after a crash, closed while its stager lets nothing in, and loading while the engine takes nothing.
 	up, closed, loading bool
 	held, staged        id.Revision
--- a/internal/facts/ended.go
+++ b/internal/facts/ended.go
@@ -8,7 +8,7 @@
 
 // ended is the newest start of an instance that is gone from the list.
 type ended struct {
-	born id.Birth
+	born id.Incarnation
 	// until is when it is forgotten.
 	until time.Time
 }
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -23,7 +23,7 @@
 type Instance struct {
 	ID id.Instance
 	// Born tells the starts of one ID apart; nothing that is known of one holds for the next.
-	Born    id.Birth
+	Born    id.Incarnation
 	Pool    id.Pool
 	Address string
 	Domain  id.Domain
--- a/internal/facts/leaving.go
+++ b/internal/facts/leaving.go
@@ -8,14 +8,14 @@
 
 // leaver is a start of an instance that has said itself that it leaves.
 type leaver struct {
-	born id.Birth
+	born id.Incarnation
 	// listed is when the own list was last known to have the instance.
 	listed time.Time
 }
 
 // MarkLeaving notes that a start of a listed instance has said itself, in an answer, that it leaves. That holds for the start for
 // good. It is false where that was known.
-func (f *Facts) MarkLeaving(n id.Instance, born id.Birth) bool {
+func (f *Facts) MarkLeaving(n id.Instance, born id.Incarnation) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.leaves(n, born) {
@@ -28,7 +28,7 @@
 }
 
 // addLeaver notes a start that leaves; the caller holds the lock.
-func (f *Facts) addLeaver(n id.Instance, born id.Birth) {
+func (f *Facts) addLeaver(n id.Instance, born id.Incarnation) {
 	now := f.now()
 	if len(f.leavers) >= mostHeard {
 		f.sweepLeavers(now)
@@ -62,14 +62,14 @@
 }
 
 // AnnouncedLeaving says whether a start of an instance has said itself that it leaves.
-func (f *Facts) AnnouncedLeaving(n id.Instance, born id.Birth) bool {
+func (f *Facts) AnnouncedLeaving(n id.Instance, born id.Incarnation) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.leaves(n, born)
 }
 
 // leaves is AnnouncedLeaving for callers that hold the lock.
-func (f *Facts) leaves(n id.Instance, born id.Birth) bool {
+func (f *Facts) leaves(n id.Instance, born id.Incarnation) bool {
 	l, ok := f.leavers[n]
 	return ok && !l.born.Before(born)
 }
--- a/internal/facts/leaving_test.go
+++ b/internal/facts/leaving_test.go
@@ -105,7 +105,7 @@
 					said = true
 					g.MarkLeaving("i", 1)
 				case 1:
-					g.SetInstance(&Instance{ID: "i", Address: "a", Born: id.Birth(1), ListPosition: seen, Leaving: n%2 == 0})
+					g.SetInstance(&Instance{ID: "i", Address: "a", Born: id.Incarnation(1), ListPosition: seen, Leaving: n%2 == 0})
 				case 2:
 					g.DropInstance("i", seen)
 				case 3:
--- a/internal/facts/life_test.go
+++ b/internal/facts/life_test.go
@@ -20,10 +20,10 @@
 		now = time.Unix(1000, 0)
 		f = New(func() time.Time { return now })
 	})
-	entry := func(born id.Birth, seen id.Position, leaving bool) *Instance {
+	entry := func(born id.Incarnation, seen id.Position, leaving bool) *Instance {
 		return &Instance{ID: "i", Born: born, Address: "a", ListPosition: seen, Leaving: leaving}
 	}
-	left := func(born id.Birth, offset id.Position) Announcement {
+	left := func(born id.Incarnation, offset id.Position) Announcement {
 		return Announcement{Instance: "i", Born: born, Address: "a", Left: true, Position: offset}
 	}
 	leaving := func() bool { return f.Instances()[0].Leaving }
@@ -31,7 +31,7 @@
 	It("never go back to an earlier one, wherever its entry stands in the list", func() {
 		Expect(f.SetInstance(entry(20, 5, false))).To(BeTrue())
 		Expect(f.SetInstance(entry(10, 9, true))).To(BeFalse())
-		Expect(f.Instance("i").Born).To(Equal(id.Birth(20)))
+		Expect(f.Instance("i").Born).To(Equal(id.Incarnation(20)))
 		Expect(leaving()).To(BeFalse())
 	})
 
--- a/internal/facts/word.go
+++ b/internal/facts/word.go
@@ -12,7 +12,7 @@
 type Announcement struct {
 	Instance id.Instance
 	// Born is the start of the instance that the word is on; 0 where that is not known.
-	Born    id.Birth
+	Born    id.Incarnation
 	Address string
 	// Left is true of an instance that says that it leaves, or is gone from the list.
 	Left bool
@@ -23,7 +23,7 @@
 // standing is all that words have said of an instance's newest start.
 type standing struct {
 	address string
-	born    id.Birth
+	born    id.Incarnation
 	// left says that some word named it as left; leftAt and backAt are the highest offsets of words of each kind.
 	left           bool
 	leftAt, backAt id.Position
@@ -50,7 +50,7 @@
 // gone says whether an instance has left whose entry in the own list is at an offset and of a start. Only an entry that was
 // written after the word brings it back, or one of a later start: it shows that the instance lives, while an older entry is
 // what a list says that lags behind.
-func (s *standing) gone(seen id.Position, born id.Birth) bool {
+func (s *standing) gone(seen id.Position, born id.Incarnation) bool {
 	return s.left && !s.born.Before(born) && s.leftAt >= max(seen, s.backAt)
 }
 
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -107,7 +107,7 @@
 	quiet := &log.Logger{Level: log.PanicLevel}
 	load := LoadSources{
 		Tracker: b.tracker, Offers: placement.NewDemandMeter(time.Now), Gateways: func() int { return 1 },
-		Permits: PermitClient{Acquire: func(context.Context, string, id.Birth) (uint64, bool) { return 1, true }},
+		Permits: PermitClient{Acquire: func(context.Context, string, id.Incarnation) (uint64, bool) { return 1, true }},
 		Demand:  func(id.Pool) placement.Demand { return placement.Demand{} },
 	}
 	q := unsuspecting()
--- a/internal/gateway/life_test.go
+++ b/internal/gateway/life_test.go
@@ -19,7 +19,7 @@
 )
 
 // started makes the list say that the only upstream of a gateway started at a moment, holding a version, or none for 0.
-func (b *testbed) started(born id.Birth, held id.Revision) *facts.Instance {
+func (b *testbed) started(born id.Incarnation, held id.Revision) *facts.Instance {
 	i := *b.facts.Instances()[0]
 	i.Born, i.Held = born, nil
 	if held > 0 {
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -15,10 +15,10 @@
 // replace each.
 type PermitClient struct {
 	// Acquire asks for a permit, and returns its number, or 0 where there is none, and whether an answer came before the context ended.
-	Acquire func(ctx context.Context, address string, born id.Birth) (permit uint64, answered bool)
+	Acquire func(ctx context.Context, address string, born id.Incarnation) (permit uint64, answered bool)
 	// ReportLimit tells a limit that an answer named, and Ended the permit of a request whose answer named none.
-	ReportLimit    func(address string, born id.Birth, r throttle.Rate)
-	ReportLimitEnd func(address string, born id.Birth, permit uint64)
+	ReportLimit    func(address string, born id.Incarnation, r throttle.Rate)
+	ReportLimitEnd func(address string, born id.Incarnation, permit uint64)
 }
 
 const (
--- a/internal/gateway/permit_test.go
+++ b/internal/gateway/permit_test.go
@@ -35,7 +35,7 @@
 	}
 	// answers has questions answered in a way.
 	answers := func(permit uint64, answered bool, took time.Duration) {
-		b.gateway.load.Permits.Acquire = func(ctx context.Context, _ string, _ id.Birth) (uint64, bool) {
+		b.gateway.load.Permits.Acquire = func(ctx context.Context, _ string, _ id.Incarnation) (uint64, bool) {
 			asked.Add(1)
 			s.lost.Add(int64(took))
 			if !answered {
@@ -53,8 +53,8 @@
 		s = &sleeper{}
 		asked.Store(0)
 		b = newTestbedAt(s.now, route(catalog.Unsafe, "engines"))
-		b.gateway.load.Permits.ReportLimit = func(string, id.Birth, throttle.Rate) {}
-		b.gateway.load.Permits.ReportLimitEnd = func(string, id.Birth, uint64) {}
+		b.gateway.load.Permits.ReportLimit = func(string, id.Incarnation, throttle.Rate) {}
+		b.gateway.load.Permits.ReportLimitEnd = func(string, id.Incarnation, uint64) {}
 		for _, n := range []string{"u", "v", "w", "x"} {
 			b.upstream(n, "engines", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 200, "", "ran") })
 			limit(n)
@@ -118,9 +118,9 @@
 		var named []throttle.Rate
 		var ended []uint64
 		b.gateway.load.Permits = PermitClient{
-			Acquire:        func(context.Context, string, id.Birth) (uint64, bool) { return 9, true },
-			ReportLimit:    func(_ string, _ id.Birth, r throttle.Rate) { named = append(named, r) },
-			ReportLimitEnd: func(_ string, _ id.Birth, permit uint64) { ended = append(ended, permit) },
+			Acquire:        func(context.Context, string, id.Incarnation) (uint64, bool) { return 9, true },
+			ReportLimit:    func(_ string, _ id.Incarnation, r throttle.Rate) { named = append(named, r) },
+			ReportLimitEnd: func(_ string, _ id.Incarnation, permit uint64) { ended = append(ended, permit) },
 		}
 		told(throttle.Announcement{Incarnation: 1})
 		for range 2 {
--- a/internal/id/id.go
+++ b/internal/id/id.go
@@ -41,11 +41,11 @@
 // starts apart.
 type Instance string
 
-// Birth is when an upstream process started, by its own clock in Unix milliseconds; 0 where it does not say.
-type Birth uint64
+// Incarnation is when an upstream process started, by its own clock in Unix milliseconds; 0 where it does not say.
+type Incarnation uint64
 
 // Before says whether a start is known to be earlier than another one.
-func (b Birth) Before(o Birth) bool {
+func (b Incarnation) Before(o Incarnation) bool {
 	return b > 0 && b < o
 }
 
--- a/internal/id/position.go
+++ b/internal/id/position.go
@@ -12,8 +12,8 @@
 // One number orders both. In era 0, which is that of a store without eras, it is the offset.
 type Position uint64
 
-// ErrPosition says that an era or an offset is larger than a position holds.
-var ErrPosition = errors.New("no position in the store")
+// ErrPositionRange says that an era or an offset is larger than a position holds.
+var ErrPositionRange = errors.New("no position in the store")
 
 // offsetBits is the number of bits of a position that hold the offset; the others hold the era.
 const offsetBits = 40
@@ -21,7 +21,7 @@
 // PositionAt returns the position of an offset in an era, or ErrPosition.
 func PositionAt(era, offset uint64) (Position, error) {
 	if offset >= 1<<offsetBits || era >= 1<<(64-offsetBits) {
-		return 0, trace.Wrap(ErrPosition, "era %d, offset %d", era, offset)
+		return 0, trace.Wrap(ErrPositionRange, "era %d, offset %d", era, offset)
 	}
 	return Position(era<<offsetBits | offset), nil
 }
--- a/internal/id/position_test.go
+++ b/internal/id/position_test.go
@@ -43,8 +43,8 @@
 
 	It("is none where the era or the offset is too large", func() {
 		_, err := id.PositionAt(1<<24, 0)
-		Expect(err).To(MatchError(id.ErrPosition))
+		Expect(err).To(MatchError(id.ErrPositionRange))
 		_, err = id.PositionAt(0, 1<<40)
-		Expect(err).To(MatchError(id.ErrPosition))
+		Expect(err).To(MatchError(id.ErrPositionRange))
 	})
 })
--- a/internal/placement/limit.go
+++ b/internal/placement/limit.go
@@ -99,7 +99,7 @@
 
 // UnannouncedLimit is the limit of an upstream of which the process beside it, by its start, has told nothing; false where there
 // is no such limit.
-func (t *Tracker) UnannouncedLimit(address string, by uint64) (throttle.Rate, id.Birth, bool) {
+func (t *Tracker) UnannouncedLimit(address string, by uint64) (throttle.Rate, id.Incarnation, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.known[address]
--- a/internal/placement/limit_test.go
+++ b/internal/placement/limit_test.go
@@ -56,7 +56,7 @@
 		t = NewTracker(func() time.Time { return now })
 		i = &facts.Instance{ID: "i", Address: "a", Born: 5, ListPosition: 1}
 	})
-	report := func(b id.Birth, told throttle.Announcement) {
+	report := func(b id.Incarnation, told throttle.Announcement) {
 		t.SetReport("a", LoadReport{Incarnation: b, ReceivedAt: now, Limit: told})
 	}
 
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -233,13 +233,13 @@
 		t.SetReport("a", LoadReport{Incarnation: 20, ReceivedAt: now})
 		l, fresh := t.Report(one)
 		Expect(fresh).To(BeTrue())
-		Expect(l.Incarnation).To(Equal(id.Birth(20)))
-		Expect(t.Candidate(one, 900).Incarnation).To(Equal(id.Birth(20)))
+		Expect(l.Incarnation).To(Equal(id.Incarnation(20)))
+		Expect(t.Candidate(one, 900).Incarnation).To(Equal(id.Incarnation(20)))
 		Expect(t.Candidate(one, 900).InFlight).To(BeZero())
 		now = now.Add(2 * reportLife)
 		l, fresh = t.Report(one)
 		Expect(fresh).To(BeFalse())
-		Expect(l.Incarnation).To(Equal(id.Birth(20)), "that it has started again does not age")
+		Expect(l.Incarnation).To(Equal(id.Incarnation(20)), "that it has started again does not age")
 	})
 
 	It("keeps what it knows where neither list nor reports say when an upstream started", func() {
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -15,7 +15,7 @@
 type Candidate struct {
 	Instance id.Instance
 	// Incarnation is the newest start that is known of the upstream.
-	Incarnation id.Birth
+	Incarnation id.Incarnation
 	Address     string
 	// Revision is the version of the model that it serves; 0 for plain services.
 	Revision id.Revision
--- a/internal/placement/rest_test.go
+++ b/internal/placement/rest_test.go
@@ -45,11 +45,11 @@
 	})
 
 	It("rests alone: not the next instance at its address, nor its next start", func() {
-		t.SetReport("a", LoadReport{ReceivedAt: now, Incarnation: id.Birth(8)})
+		t.SetReport("a", LoadReport{ReceivedAt: now, Incarnation: id.Incarnation(8)})
 		rest(time.Minute)
 		Expect(t.Candidate(&facts.Instance{ID: "j", Address: "a"}, 0).Rest).To(BeZero())
 		Expect(t.RestRemaining("b", "i")).To(BeZero())
-		t.SetReport("a", LoadReport{ReceivedAt: now, Incarnation: id.Birth(9)})
+		t.SetReport("a", LoadReport{ReceivedAt: now, Incarnation: id.Incarnation(9)})
 		Expect(t.Candidate(&facts.Instance{ID: "i", Address: "a", Born: 9}, 0).Rest).To(BeZero())
 	})
 
--- a/internal/placement/tracker.go
+++ b/internal/placement/tracker.go
@@ -26,7 +26,7 @@
 // LoadReport is what an upstream's stager says of it.
 type LoadReport struct {
 	// Incarnation is the start of the upstream that the figures are of; 0 where that is not known.
-	Incarnation      id.Birth
+	Incarnation      id.Incarnation
 	Running, Waiting int
 	Slowdown         float64
 	Held             []facts.Held
@@ -57,7 +57,7 @@
 
 // upstream is what the tracker keeps of one start of the upstream at an address.
 type upstream struct {
-	born     id.Birth
+	born     id.Incarnation
 	report   LoadReport
 	sent     map[*sent]struct{}
 	failures int
@@ -100,7 +100,7 @@
 // start returns what is kept of an address once a start of the upstream there has been heard of. A later start begins with
 // nothing: requests, failures and figures were of the one before, whose requests still hold what was kept of it. It is nil for
 // a start that is known to be over. The caller holds the lock.
-func (t *Tracker) start(address string, born id.Birth) *upstream {
+func (t *Tracker) start(address string, born id.Incarnation) *upstream {
 	u := t.at(address)
 	switch {
 	case born.Before(u.born):
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -11,7 +11,7 @@
 	Address  string
 	Instance id.Instance
 	// Born tells the starts of one instance apart; 0 where it is not known.
-	Born id.Birth
+	Born id.Incarnation
 }
 
 // CallerAttempt tells the tries of a request's callers apart, each of which has an id of its own.
--- a/internal/quarantine/news.go
+++ b/internal/quarantine/news.go
@@ -42,7 +42,7 @@
 }
 
 func startOf(m *pb.UpstreamStart) Incarnation {
-	return Incarnation{Address: m.GetAddress(), Instance: id.Instance(m.GetInstance()), Born: id.Birth(m.GetBorn())}
+	return Incarnation{Address: m.GetAddress(), Instance: id.Instance(m.GetInstance()), Born: id.Incarnation(m.GetBorn())}
 }
 
 // ApplyNews takes what another gateway tells. What is no fingerprint is counted and left out.
--- a/internal/reports/permits.go
+++ b/internal/reports/permits.go
@@ -49,7 +49,7 @@
 
 // RequestPermit asks the stager beside an upstream for a permit, and returns its number, or 0 where there is none, and
 // whether an answer came before the context ended.
-func (s *Subscriber) RequestPermit(ctx context.Context, address string, born id.Birth) (permit uint64, answered bool) {
+func (s *Subscriber) RequestPermit(ctx context.Context, address string, born id.Incarnation) (permit uint64, answered bool) {
 	number, answer := s.questions.add()
 	defer s.questions.drop(number)
 	s.tellStager(address, &pb.PermitRequest{Number: number, Born: uint64(born)})
@@ -62,12 +62,12 @@
 }
 
 // SendLimit tells the stager beside an upstream which limit an answer named.
-func (s *Subscriber) SendLimit(address string, born id.Birth, r throttle.Rate) {
+func (s *Subscriber) SendLimit(address string, born id.Incarnation, r throttle.Rate) {
 	s.tellStager(address, &pb.PermitRequest{Born: uint64(born), Named: proto.Float64(float64(r))})
 }
 
 // SendLimitEnd tells the stager beside an upstream that the answer to the request with a permit named no limit.
-func (s *Subscriber) SendLimitEnd(address string, born id.Birth, permit uint64) {
+func (s *Subscriber) SendLimitEnd(address string, born id.Incarnation, permit uint64) {
 	s.tellStager(address, &pb.PermitRequest{Born: uint64(born), Ended: permit})
 }
 
@@ -149,7 +149,7 @@
 // takePermit gives a gateway a permit for the upstream beside this process, or takes what the gateway tells of the
 // upstream's limit.
 func (r *Reporter) takePermit(m *pb.PermitRequest) {
-	born := id.Birth(m.GetBorn())
+	born := id.Incarnation(m.GetBorn())
 	if m.Named != nil && throttle.ValidRate(m.GetNamed()) {
 		r.limiter.RecordGatewayLimit(throttle.Rate(m.GetNamed()), born)
 	}
--- a/internal/reports/subscriber.go
+++ b/internal/reports/subscriber.go
@@ -233,7 +233,7 @@
 		s.hear(&r, w)
 	}
 	p := placement.LoadReport{
-		Incarnation: id.Birth(r.GetBorn()),
+		Incarnation: id.Incarnation(r.GetBorn()),
 		Running:     int(r.GetRunning()), Waiting: int(r.GetWaiting()), Slowdown: r.GetPace(),
 		Closed: r.GetClosed(), Down: r.GetDown(), Congested: r.GetNarrow(), Leaving: r.GetLeaving(), ReceivedAt: s.now(), EchoedStamp: made,
 		StampHeldFor: time.Duration(r.GetEchoHeldMs()) * time.Millisecond, Interval: nearEvery, ConfigVersion: r.GetConfig(),
@@ -301,7 +301,7 @@
 func (s *Subscriber) hear(r *pb.UpstreamReport, w *pb.ListWord) {
 	n := id.Instance(w.GetInstance())
 	word := facts.Announcement{
-		Instance: n, Born: id.Birth(w.GetBorn()), Address: r.GetAddress(), Left: w.GetLeft(), Position: id.Position(w.GetOffset()),
+		Instance: n, Born: id.Incarnation(w.GetBorn()), Address: r.GetAddress(), Left: w.GetLeft(), Position: id.Position(w.GetOffset()),
 	}
 	if !s.facts.ApplyAnnouncement(word) {
 		return
--- a/internal/stager/ports.go
+++ b/internal/stager/ports.go
@@ -23,7 +23,7 @@
 // State is what the upstream says of itself at this moment.
 type State struct {
 	// Born is when the upstream started; 0 where it does not say.
-	Born             id.Birth
+	Born             id.Incarnation
 	Running, Waiting int
 	KVUsed, KVTotal  uint64
 	Pace             float64
--- a/internal/throttle/limiter.go
+++ b/internal/throttle/limiter.go
@@ -35,7 +35,7 @@
 	now func() time.Time
 	mu  sync.Mutex
 	// born is the newest start of the upstream that is known.
-	born id.Birth
+	born id.Incarnation
 	word LimitInfo
 	// reported is true once the upstream has named a limit to this process: from then on nobody else is believed.
 	reported bool
@@ -61,7 +61,7 @@
 )
 
 // RecordUpstreamReport takes what the upstream itself says beside its figures, of which start it is.
-func (l *Limiter) RecordUpstreamReport(w LimitInfo, born id.Birth) {
+func (l *Limiter) RecordUpstreamReport(w LimitInfo, born id.Incarnation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.start(born)
@@ -75,7 +75,7 @@
 }
 
 // start forgets what was of an earlier start. The caller holds the lock.
-func (l *Limiter) start(born id.Birth) {
+func (l *Limiter) start(born id.Incarnation) {
 	if l.born.Before(born) {
 		l.reported = false
 		if l.word.State == Limited {
@@ -86,7 +86,7 @@
 }
 
 // RecordGatewayLimit takes a limit that an answer named to a gateway.
-func (l *Limiter) RecordGatewayLimit(r Rate, born id.Birth) {
+func (l *Limiter) RecordGatewayLimit(r Rate, born id.Incarnation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.start(born)
@@ -101,7 +101,7 @@
 }
 
 // RecordGatewayEnd takes word of an answer without a limit to the request that had a permit.
-func (l *Limiter) RecordGatewayEnd(permit uint64, born id.Birth) {
+func (l *Limiter) RecordGatewayEnd(permit uint64, born id.Incarnation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.reported && !born.Before(l.born) && l.named < permit && permit <= l.issued {
--- a/internal/throttle/plays_test.go
+++ b/internal/throttle/plays_test.go
@@ -248,8 +248,8 @@
 })
 
 // birth draws a start of the upstream: the present one, an earlier one, or none that is told.
-func birth(t *rapid.T) id.Birth {
-	return id.Birth(rapid.IntRange(0, 1).Draw(t, "born"))
+func birth(t *rapid.T) id.Incarnation {
+	return id.Incarnation(rapid.IntRange(0, 1).Draw(t, "born"))
 }
 
 var _ = Describe("news of limits in any order, doubled and lost", func() {
--- a/internal/upconn/conn.go
+++ b/internal/upconn/conn.go
@@ -31,7 +31,7 @@
 	net.Conn
 	address string
 	// born is the start of the upstream that was known when the connection was opened.
-	born id.Birth
+	born id.Incarnation
 	r    *bufio.Reader
 	w    *bufio.Writer
 	// idleUntil is when it may no longer be used again.
@@ -70,7 +70,7 @@
 
 // take returns the connection to an address that was used last and may be used again, or nil. One to an earlier start of
 // the upstream is not: behind a cut it stays silent, and a request sent over it ends with an unknown outcome.
-func (i *idle) take(address string, born id.Birth, now time.Time) *conn {
+func (i *idle) take(address string, born id.Incarnation, now time.Time) *conn {
 	for {
 		c := i.pop(address)
 		if c == nil {
--- a/internal/upconn/pool.go
+++ b/internal/upconn/pool.go
@@ -75,7 +75,7 @@
 	return e, nil
 }
 
-func (p *Pool) connect(ctx context.Context, address string, born id.Birth) (*conn, error) {
+func (p *Pool) connect(ctx context.Context, address string, born id.Incarnation) (*conn, error) {
 	p.OnDial()
 	n, err := p.dial(ctx, "tcp", address)
 	if err != nil {
@@ -160,7 +160,7 @@
 
 // ProbeRefused says whether nothing listens at an address any more: the process there has ended, and its VM lives. It is not
 // known where neither a connection nor a refusal comes. A connection that comes is kept for the next request.
-func (p *Pool) ProbeRefused(ctx context.Context, address string, born id.Birth) (refused, known bool) {
+func (p *Pool) ProbeRefused(ctx context.Context, address string, born id.Incarnation) (refused, known bool) {
 	c, err := p.connect(ctx, address, born)
 	if err != nil {
 		refused = errors.Is(err, syscall.ECONNREFUSED)
--- a/internal/upconn/request.go
+++ b/internal/upconn/request.go
@@ -38,7 +38,7 @@
 	ContentLength int64
 	// Incarnation is the start of the upstream that the request is for, where that is known: it goes over no kept connection to an
 	// earlier one.
-	Incarnation id.Birth
+	Incarnation id.Incarnation
 	// MaySend is asked once there is a connection, with the time that it took to come, and false leaves the request unsent;
 	// nil stands for always. It guards against what must not be sent late: a connection over a link with a queue comes
 	// seconds after it was asked for.
--- a/internal/upconn/upconn_test.go
+++ b/internal/upconn/upconn_test.go
@@ -90,7 +90,7 @@
 			}
 		})
 		p := newPool()
-		for n, born := range []id.Birth{10, 10, 20, 20, 0, 20} {
+		for n, born := range []id.Incarnation{10, 10, 20, 20, 0, 20} {
 			q := request(fmt.Sprint(n))
 			q.Incarnation = born
 			e, err := p.Send(context.Background(), u.address, q)
