--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -13,8 +13,8 @@
 	"github.com/springrail/springrail/internal/config"
 )
 
-// ErrOther says that a manifest is not the one that a version pins.
-var ErrOther = errors.New("not the manifest that the version pins")
+// ErrMismatch says that a manifest is not the one that a version pins.
+var ErrMismatch = errors.New("not the manifest that the version pins")
 
 // New hashes content into a manifest.
 func New(content io.Reader, chunkBytes uint64) (*pb.Manifest, error) {
@@ -46,19 +46,19 @@
 func Decode(raw []byte, v *pb.Version) (*pb.Manifest, error) {
 	pin := v.GetManifestSha256()
 	if sum := sha256.Sum256(raw); len(pin) > 0 && string(sum[:]) != string(pin) {
-		return nil, trace.Wrap(ErrOther, "another hash")
+		return nil, trace.Wrap(ErrMismatch, "another hash")
 	}
 	m := &pb.Manifest{}
 	if err := proto.Unmarshal(raw, m); err != nil {
-		return nil, trace.Wrap(errors.Join(ErrOther, err))
+		return nil, trace.Wrap(errors.Join(ErrMismatch, err))
 	}
 	same := m.GetTotalBytes() == v.GetTotalBytes() && m.GetChunkBytes() == v.GetChunkBytes()
 	if !same || uint64(len(m.GetChunkSha256())) != config.ChunkCount(v) {
-		return nil, trace.Wrap(ErrOther, "other sizes")
+		return nil, trace.Wrap(ErrMismatch, "other sizes")
 	}
 	for _, s := range m.GetChunkSha256() {
 		if len(s) != sha256.Size {
-			return nil, trace.Wrap(ErrOther, "a hash of %d bytes", len(s))
+			return nil, trace.Wrap(ErrMismatch, "a hash of %d bytes", len(s))
 		}
 	}
 	return m, nil
