--- a/internal/spec/spec.go
+++ b/internal/spec/spec.go
@@ -14,8 +14,8 @@
 	_ "pgregory.net/rapid"
 )
 
-// Histories is the number of generated histories of each property.
-const Histories = 10000
+// PropertyChecks is the number of generated histories of each property.
+const PropertyChecks = 10000
 
 // seed fixes all choices of a run.
 const seed = 20261202
@@ -24,7 +24,7 @@
 func Run(t *testing.T, name string) {
 	t.Helper()
 	gomega.RegisterFailHandler(ginkgo.Fail)
-	set(t, "rapid.checks", strconv.Itoa(Histories))
+	set(t, "rapid.checks", strconv.Itoa(PropertyChecks))
 	set(t, "rapid.seed", strconv.Itoa(seed))
 	set(t, "rapid.nofailfile", "true")
 	c, r := ginkgo.GinkgoConfiguration()
