--- a/internal/callerapi/part.go
+++ b/internal/callerapi/part.go
@@ -124,7 +124,7 @@
 	p.flight.leave(ctx)
 }
 
-// NotReady implements kernel.Readier.
+// NotReady implements kernel.ReadinessReporter.
 func (p *Part) NotReady() string {
 	if p.flight.isLeaving() {
 		return "leaving"
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -49,7 +49,7 @@
 
 // Now is the time by the clock of this VM. Only differences between two such times mean anything: the time of day in it
 // is too late by the suspensions since the process started. Contexts and connections take times of the standard
-// library: see In and Left.
+// library: see DeadlineAfter and Until.
 func Now() time.Time {
 	return system.Now()
 }
--- a/internal/configlog/change.go
+++ b/internal/configlog/change.go
@@ -30,13 +30,13 @@
 	retry func() <-chan time.Time
 }
 
-// NewChangeWriter makes a Changer over a store that a Tail keeps up to date.
+// NewChangeWriter makes a ChangeWriter over a store that a Tail keeps up to date.
 func NewChangeWriter(s *Store, add func(ctx context.Context, data []byte) (id.Offset, error)) *ChangeWriter {
 	return &ChangeWriter{store: s, append: add, retry: func() <-chan time.Time { return time.After(appendRetry) }}
 }
 
 // Submit appends a change and waits until the store has folded it. The error is ErrRejected with the reason, or
-// ErrUnknown at the context's deadline.
+// ErrOutcomeUnknown at the context's deadline.
 func (c *ChangeWriter) Submit(ctx context.Context, m *pb.Change) (*pb.ChangeOutcome, error) {
 	data, err := proto.Marshal(&pb.Record{Body: &pb.Record_Change{Change: m}})
 	if err != nil {
--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -183,7 +183,7 @@
 	return trace.Wrap(err)
 }
 
-// NotReady implements kernel.Readier.
+// NotReady implements kernel.ReadinessReporter.
 func (g *Gateway) NotReady() string {
 	switch {
 	case g.leaving.Load():
--- a/internal/id/id.go
+++ b/internal/id/id.go
@@ -37,7 +37,7 @@
 // Chunk is the index of a chunk in its version, from 0.
 type Chunk uint32
 
-// Instance names an upstream process. One that starts again may get a new name or keep the one it had: a Birth tells its
+// Instance names an upstream process. One that starts again may get a new name or keep the one it had: an Incarnation tells its
 // starts apart.
 type Instance string
 
--- a/internal/id/position.go
+++ b/internal/id/position.go
@@ -18,7 +18,7 @@
 // offsetBits is the number of bits of a position that hold the offset; the others hold the era.
 const offsetBits = 40
 
-// PositionAt returns the position of an offset in an era, or ErrPosition.
+// PositionAt returns the position of an offset in an era, or ErrPositionRange.
 func PositionAt(era, offset uint64) (Position, error) {
 	if offset >= 1<<offsetBits || era >= 1<<(64-offsetBits) {
 		return 0, trace.Wrap(ErrPositionRange, "era %d, offset %d", era, offset)
--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -41,7 +41,7 @@
 	return proto.MarshalOptions{Deterministic: true}.Marshal(m)
 }
 
-// Decode reads the manifest that a version pins; it is ErrOther where the hash or the sizes differ. A version without a
+// Decode reads the manifest that a version pins; it is ErrMismatch where the hash or the sizes differ. A version without a
 // pin, which only a platform that names versions by number has, is checked by its sizes alone.
 func Decode(raw []byte, v *pb.Version) (*pb.Manifest, error) {
 	pin := v.GetManifestSha256()
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -157,7 +157,7 @@
 	return u
 }
 
-// Merge takes what another entry returned from Newer.
+// Merge takes what another entry returned from UpdatesSince.
 func (t *Table) Merge(updates []*pb.OwnerUpdate) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/operatorapi/service.go
+++ b/internal/operatorapi/service.go
@@ -26,7 +26,7 @@
 	event         = pb.Event
 )
 
-// Service implements the operators' calls. Authority has decided about each before it gets here.
+// Service implements the operators' calls. AuthInterceptor has decided about each before it gets here.
 type Service struct {
 	state    func() *config.State
 	changed  func() <-chan struct{}
