--- a/internal/kernel/event.go
+++ b/internal/kernel/event.go
@@ -6,10 +6,10 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// EventKind names what happened.
+// EventKind is the type of an event. Operators see its value.
 type EventKind string
 
-// The kinds of events, in the order of a rollout's life.
+// The event kinds of processes, changes, rollouts and requests.
 const (
 	EventProcessStarted    EventKind = "process-started"
 	EventProcessLeaving    EventKind = "process-leaving"
@@ -36,7 +36,7 @@
 	EventConfigUnavailable EventKind = "config-unavailable"
 )
 
-// Event is one entry of a process's time line.
+// Event is an entry of a process's event history.
 type Event struct {
 	At           Time
 	Sequence     uint64
@@ -47,7 +47,7 @@
 	Detail       string
 }
 
-// EventRing keeps the newest events of the process and forgets the oldest.
+// EventRing is a ring buffer of the process's newest events: a new event overwrites the oldest one.
 type EventRing struct {
 	clock *Clock
 	mu    sync.Mutex
@@ -55,12 +55,12 @@
 	count uint64
 }
 
-// NewEventRing makes a ring of size events.
+// NewEventRing returns a ring buffer that holds size events and stamps them with the time of c.
 func NewEventRing(c *Clock, size int) *EventRing {
 	return &EventRing{clock: c, ring: make([]Event, size)}
 }
 
-// Add stamps the event with the time and its number and keeps it.
+// Add stores an event with the current time and the next sequence number.
 func (r *EventRing) Add(e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -70,7 +70,7 @@
 	r.ring[(r.count-1)%uint64(len(r.ring))] = e
 }
 
-// List returns the events that keep accepts, oldest first.
+// List returns the stored events for which keep returns true, oldest first.
 func (r *EventRing) List(keep func(Event) bool) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/kernel/host.go
+++ b/internal/kernel/host.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// eventRingSize bounds the events kept per process; at about 200 bytes each it is 1.6 MB.
+	// eventRingSize is the number of events kept per process; at about 200 bytes each they take 1.6 MB.
 	eventRingSize = 8192
-	// defaultDrain bounds a planned stop.
-	defaultDrain = 30 * time.Second
+	// defaultDrainTimeout is the default time limit for finishing requests in flight at shutdown.
+	defaultDrainTimeout = 30 * time.Second
 )
 
-// Identity says which VM the process runs on.
+// Identity is the VM that the process runs on, with its failure domain.
 type Identity struct {
 	VM     id.VM
 	Domain id.Domain
 }
 
-// ProcessSettings is the settings section that every daemon has.
+// ProcessSettings is the section [process], which the settings file of every daemon has.
 type ProcessSettings struct {
 	VM       string        `toml:"vm"`
 	Domain   string        `toml:"domain"`
@@ -36,9 +36,9 @@
 	Drain    time.Duration `toml:"drain"`
 }
 
-// NewProcessSettings returns the defaults.
+// NewProcessSettings returns the default settings of the section [process].
 func NewProcessSettings() *ProcessSettings {
-	return &ProcessSettings{LogLevel: "info", Drain: defaultDrain}
+	return &ProcessSettings{LogLevel: "info", Drain: defaultDrainTimeout}
 }
 
 // Check implements Section.
@@ -50,21 +50,22 @@
 	c.Require(p.Drain > 0 && p.Drain <= time.Hour, "drain", "a time above 0 and up to 1h")
 }
 
-// Host is what a part is given to build itself from.
+// Host owns the parts of a process: it creates, runs and drains them, and gives each one its settings, the logger, the clock,
+// the event ring and the parts that it depends on.
 type Host struct {
-	Identity Identity
-	Log      *log.Logger
-	Clock    *Clock
-	Events   *EventRing
-	sections map[string]Section
-	made     map[string]any
-	started  []any
-	drain    time.Duration
-	leave    func()
-	metrics  *expvar.Map
-}
-
-// DefaultSections returns the default settings of the parts, by section name.
+	Identity     Identity
+	Log          *log.Logger
+	Clock        *Clock
+	Events       *EventRing
+	sections     map[string]Section
+	partsByName  map[string]any
+	parts        []any
+	drainTimeout time.Duration
+	shutdown     func()
+	metrics      *expvar.Map
+}
+
+// DefaultSections returns the default settings of the given parts and of the section [process], by section name.
 func DefaultSections(parts []Part) map[string]Section {
 	m := map[string]Section{"process": NewProcessSettings()}
 	for _, p := range parts {
@@ -75,58 +76,59 @@
 	return m
 }
 
-// NewHost makes the parts in the order of their needs.
+// NewHost creates the parts, each one after the parts that it depends on.
 func NewHost(parts []Part, sections map[string]Section, l *log.Logger, c *Clock) (*Host, error) {
 	p := sections["process"].(*ProcessSettings)
 	h := &Host{
-		Identity: Identity{VM: id.VM(p.VM), Domain: id.Domain(p.Domain)},
-		Log:      l,
-		Clock:    c,
-		Events:   NewEventRing(c, eventRingSize),
-		sections: sections,
-		made:     map[string]any{},
-		drain:    p.Drain,
-		metrics:  new(expvar.Map),
+		Identity:     Identity{VM: id.VM(p.VM), Domain: id.Domain(p.Domain)},
+		Log:          l,
+		Clock:        c,
+		Events:       NewEventRing(c, eventRingSize),
+		sections:     sections,
+		partsByName:  map[string]any{},
+		drainTimeout: p.Drain,
+		metrics:      new(expvar.Map),
 	}
-	sorted, err := order(parts)
+	sorted, err := sortByDependencies(parts)
 	if err != nil {
 		return nil, err
 	}
 	for _, p := range sorted {
-		made, err := p.New(h)
+		created, err := p.New(h)
 		if err != nil {
 			return nil, trace.Wrap(err, "part %s", p.Name)
 		}
-		h.made[p.Name] = made
-		h.started = append(h.started, made)
+		h.partsByName[p.Name] = created
+		h.parts = append(h.parts, created)
 	}
 	return h, nil
 }
 
-// Section returns the checked settings of a part.
+// Section returns the validated settings section of the given name.
 func (h *Host) Section(name string) Section {
 	return h.sections[name]
 }
 
-// Part returns a part that the caller named in its Needs.
+// Part returns the created part of the given name. The caller must list that name in its Part.Needs.
 func (h *Host) Part(name string) any {
-	return h.made[name]
+	return h.partsByName[name]
 }
 
-// AddMetric adds a metric of a part. Each host has its own, so that several can run in one process.
+// AddMetric registers a metric. Metrics belong to the host and not to the global expvar map, so that several hosts can run
+// in one operating system process.
 func (h *Host) AddMetric(name string, v expvar.Var) {
 	h.metrics.Set(name, v)
 }
 
-// Metrics returns the parts' metrics.
+// Metrics returns the metrics registered with AddMetric.
 func (h *Host) Metrics() *expvar.Map {
 	return h.metrics
 }
 
-// MetricsPath is where metrics are served.
+// MetricsPath is the HTTP path at which metrics are served.
 const MetricsPath = "/debug/vars"
 
-// ServeMetrics writes the parts' metrics and Go's own, in the form of package expvar.
+// ServeMetrics responds with the parts' metrics and those of the Go runtime, in the JSON format of package expvar.
 func (h *Host) ServeMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	_, _ = fmt.Fprintf(w, "{\n%q: %s", "springrail", h.metrics)
@@ -134,15 +136,15 @@
 	_, _ = fmt.Fprintln(w, "\n}")
 }
 
-// ReadinessReporter is a part that can say that it is not ready to serve.
+// ReadinessReporter is implemented by parts that take part in the readiness check of the process.
 type ReadinessReporter interface {
-	// NotReady says what is missing, or nothing.
+	// NotReady returns the reason why the part can't serve yet, or an empty string if it can.
 	NotReady() string
 }
 
-// Ready says whether all parts are ready, and if not, what is missing.
+// Ready reports whether all parts are ready to serve, and otherwise the reason of the first one that is not.
 func (h *Host) Ready() (bool, string) {
-	for _, p := range h.started {
+	for _, p := range h.parts {
 		if r, ok := p.(ReadinessReporter); ok {
 			if why := r.NotReady(); why != "" {
 				return false, why
@@ -152,39 +154,40 @@
 	return true, ""
 }
 
-// BeginShutdown begins a planned stop, as SIGTERM does.
+// BeginShutdown starts a graceful shutdown, as SIGTERM does.
 func (h *Host) BeginShutdown() {
-	h.leave()
+	h.shutdown()
 }
 
-// Run runs all parts until the context ends or one fails, then drains them, last made first.
+// Run runs all parts until the context ends or a part fails. After the end of the context it drains the parts, in the reverse
+// order of their creation, and then stops them.
 func (h *Host) Run(ctx context.Context) error {
-	leaving, leave := context.WithCancel(ctx)
-	defer leave()
-	h.leave = leave
-	running, end := context.WithCancelCause(context.WithoutCancel(ctx))
-	defer end(nil)
+	shuttingDown, beginShutdown := context.WithCancel(ctx)
+	defer beginShutdown()
+	h.shutdown = beginShutdown
+	runContext, stop := context.WithCancelCause(context.WithoutCancel(ctx))
+	defer stop(nil)
 	h.Events.Add(Event{Kind: EventProcessStarted})
 	var wg sync.WaitGroup
-	for _, p := range h.started {
+	for _, p := range h.parts {
 		r, ok := p.(Runner)
 		if !ok {
 			continue
 		}
 		wg.Go(func() {
-			if err := r.Run(running); err != nil {
-				end(err)
+			if err := r.Run(runContext); err != nil {
+				stop(err)
 			}
 		})
 	}
 	select {
-	case <-leaving.Done():
-		h.drainAll(running)
-	case <-running.Done():
+	case <-shuttingDown.Done():
+		h.drainAll(runContext)
+	case <-runContext.Done():
 	}
-	end(context.Canceled)
+	stop(context.Canceled)
 	wg.Wait()
-	if err := context.Cause(running); !errors.Is(err, context.Canceled) {
+	if err := context.Cause(runContext); !errors.Is(err, context.Canceled) {
 		return err
 	}
 	return nil
@@ -192,11 +195,11 @@
 
 func (h *Host) drainAll(ctx context.Context) {
 	h.Events.Add(Event{Kind: EventProcessLeaving})
-	h.Log.Info().Msg("leaving: finishing what is in flight")
-	ctx, stop := context.WithTimeout(ctx, h.drain)
-	defer stop()
-	for i := len(h.started) - 1; i >= 0; i-- {
-		if d, ok := h.started[i].(Drainer); ok {
+	h.Log.Info().Msg("leaving: draining, requests in flight are finished")
+	ctx, cancel := context.WithTimeout(ctx, h.drainTimeout)
+	defer cancel()
+	for i := len(h.parts) - 1; i >= 0; i-- {
+		if d, ok := h.parts[i].(Drainer); ok {
 			d.Drain(ctx)
 		}
 	}
--- a/internal/kernel/kernel_test.go
+++ b/internal/kernel/kernel_test.go
@@ -17,7 +17,7 @@
 	spec.Run(t, "The kernel")
 }
 
-// sample is a section with a field of each type.
+// sample is a settings section with a field of each supported type.
 type sample struct {
 	Name  string            `toml:"name"`
 	Count int               `toml:"count"`
@@ -44,7 +44,7 @@
 		return l
 	}
 
-	DescribeTable("name every wrong line", func(text string, want ...string) {
+	DescribeTable("report every invalid line", func(text string, want ...string) {
 		Expect(load(text)).To(Equal(want))
 	},
 		Entry("missing key", "[sample]\ncount = 1\n", "1: sample.name: is missing, want a name"),
@@ -65,7 +65,7 @@
 		Entry("syntax", "[sample]\nname = \n", "2: syntax: toml: unexpected character U+000A at start of value"),
 	)
 
-	It("take what is right", func() {
+	It("are read from a valid file", func() {
 		s := &sample{}
 		file := filepath.Join(GinkgoT().TempDir(), "s.toml")
 		text := "[sample]\nname = \"a\"\ncount = 2\nshare = 1\non = true\nwait = \"2s\"\nlist = [\"x\"]\n[sample.table]\nk-1 = \"v\"\n"
@@ -76,13 +76,13 @@
 		}))
 	})
 
-	It("say that a file can't be read", func() {
+	It("report a file that can't be read", func() {
 		Expect(LoadSettings("/nowhere/s.toml", nil)[0].String()).To(ContainSubstring("no such file"))
 	})
 })
 
 var _ = Describe("the clock", func() {
-	It("never runs back, and never behind a message, whatever the wall clock does", func() {
+	It("returns increasing timestamps, later than those of received messages, while the wall clock jumps", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			wall := int64(1000)
 			c := NewClock(func() time.Time { return time.UnixMilli(wall) })
@@ -107,21 +107,21 @@
 })
 
 var _ = Describe("parts", func() {
-	made := func(name string, needs ...string) Part { return Part{Name: name, Needs: needs} }
-	It("come after those that they need", func() {
-		l, err := order([]Part{made("a", "b"), made("b", "c"), made("c")})
+	newPart := func(name string, needs ...string) Part { return Part{Name: name, Needs: needs} }
+	It("are sorted after their dependencies", func() {
+		l, err := sortByDependencies([]Part{newPart("a", "b"), newPart("b", "c"), newPart("c")})
 		Expect(err).NotTo(HaveOccurred())
 		Expect([]string{l[0].Name, l[1].Name, l[2].Name}).To(Equal([]string{"c", "b", "a"}))
 	})
-	DescribeTable("that do not fit are refused", func(parts ...Part) {
-		_, err := order(parts)
+	DescribeTable("that form an invalid set are rejected", func(parts ...Part) {
+		_, err := sortByDependencies(parts)
 		Expect(err).To(MatchError(ErrInvalidParts))
 	},
-		Entry("missing", made("a", "b")), Entry("circle", made("a", "b"), made("b", "a")), Entry("twice", made("a"), made("a")))
+		Entry("missing", newPart("a", "b")), Entry("cycle", newPart("a", "b"), newPart("b", "a")), Entry("duplicate", newPart("a"), newPart("a")))
 })
 
 var _ = Describe("the event ring", func() {
-	It("forgets the oldest and numbers all", func() {
+	It("overwrites the oldest events and numbers all of them", func() {
 		r := NewEventRing(NewClock(time.Now), 3)
 		for range 5 {
 			r.Add(Event{Kind: EventChangeRequested})
--- a/internal/kernel/part.go
+++ b/internal/kernel/part.go
@@ -1,5 +1,5 @@
-// Package kernel starts and stops the parts of a process and holds what all of them share: settings, logger,
-// clock and event ring. It knows no part by name; parts register themselves.
+// Package kernel starts and stops the parts (components) of a process and provides what all of them share: settings,
+// logger, clock and event ring. Parts register themselves, so the package depends on none of them.
 package kernel
 
 import (
@@ -10,54 +10,54 @@
 	"github.com/gravitational/trace"
 )
 
-// ErrInvalidParts says that the parts linked into a binary do not fit together.
-var ErrInvalidParts = errors.New("parts do not fit together")
+// ErrInvalidParts is returned if a part is registered twice, depends on an unregistered part or is in a dependency cycle.
+var ErrInvalidParts = errors.New("invalid set of parts")
 
-// Part is one piece of a process that registers itself from its package's init.
+// Part describes a component of a process. Its package registers it from init.
 type Part struct {
-	// Name is what other parts name in Needs.
+	// Name identifies the part; other parts list it in Needs.
 	Name string
-	// Section is the settings section; empty where the part has no settings.
+	// Section is the name of the part's settings section; it is empty if the part has no settings.
 	Section string
-	// Needs lists the parts that must be made before this one.
+	// Needs lists the names of the parts that this one depends on. They are created first.
 	Needs []string
-	// Settings returns the section's defaults.
+	// Settings returns the section with its default values.
 	Settings func() Section
-	// New makes the part. The result may be a Runner or a Drainer or both.
+	// New creates the part. The result may implement Runner, Drainer and ReadinessReporter.
 	New func(h *Host) (any, error)
 }
 
-// Runner is a part with work of its own.
+// Runner is implemented by parts that run in the background.
 type Runner interface {
-	// Run works until the context ends. An error stops the process.
+	// Run blocks until the context ends. An error that it returns stops the process.
 	Run(ctx context.Context) error
 }
 
-// Drainer is a part that finishes work before a planned stop.
+// Drainer is implemented by parts that finish requests in flight before a graceful shutdown.
 type Drainer interface {
-	// Drain refuses new work and returns once the work in flight is done or the context ends.
+	// Drain rejects new requests and returns once those in flight are finished or the context ends.
 	Drain(ctx context.Context)
 }
 
-// registry holds the parts that the binary links in.
+// registry holds the registered parts, which are those of the packages linked into the binary.
 var registry []Part
 
-// Register adds a part; call it from init.
+// Register adds a part to the registry. It must be called from an init function.
 func Register(p Part) {
 	registry = append(registry, p)
 }
 
-// Registered returns the parts of the binary.
+// Registered returns all parts of the registry.
 func Registered() []Part {
 	return slices.Clone(registry)
 }
 
-// Select returns the named parts of the binary with all that they need, so that a package may register parts for
+// Select returns the named parts of the registry with all their dependencies, so that a package can register parts for
 // several programs.
 func Select(names ...string) []Part {
 	wanted := map[string]bool{}
-	var want func(name string)
-	want = func(name string) {
+	var add func(name string)
+	add = func(name string) {
 		if wanted[name] {
 			return
 		}
@@ -65,19 +65,19 @@
 		for _, p := range registry {
 			if p.Name == name {
 				for _, n := range p.Needs {
-					want(n)
+					add(n)
 				}
 			}
 		}
 	}
 	for _, n := range names {
-		want(n)
+		add(n)
 	}
 	return slices.DeleteFunc(Registered(), func(p Part) bool { return !wanted[p.Name] })
 }
 
-// order sorts parts so that each comes after those that it needs.
-func order(parts []Part) ([]Part, error) {
+// sortByDependencies sorts parts topologically: each part comes after those that it depends on.
+func sortByDependencies(parts []Part) ([]Part, error) {
 	byName := map[string]Part{}
 	for _, p := range parts {
 		if _, twice := byName[p.Name]; twice {
@@ -91,11 +91,11 @@
 	visit = func(name string) error {
 		p, ok := byName[name]
 		if !ok {
-			return trace.Wrap(ErrInvalidParts, "part %q is needed and not linked in", name)
+			return trace.Wrap(ErrInvalidParts, "part %q is needed by another part but not registered", name)
 		}
 		switch state[name] {
 		case 1:
-			return trace.Wrap(ErrInvalidParts, "part %q needs itself", name)
+			return trace.Wrap(ErrInvalidParts, "part %q depends on itself", name)
 		case 2:
 			return nil
 		}
--- a/internal/kernel/pause.go
+++ b/internal/kernel/pause.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Pause waits for a time or until the context ends.
+// Pause sleeps for the duration d or until the context ends.
 func Pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/kernel/settings.go
+++ b/internal/kernel/settings.go
@@ -14,33 +14,34 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Section is the settings of one part: a struct with toml tags whose values before reading are the defaults.
+// Section is the settings section of a part: a pointer to a struct with toml tags. The values that it has before the file
+// is read are the defaults.
 type Section interface {
-	// Check reports each value that is not allowed.
+	// Check validates the section and reports each invalid value to c.
 	Check(c *Checker)
 }
 
-// Problem is one wrong line of a settings file.
+// Problem is an error at a line of a settings file.
 type Problem struct {
 	File string
 	Line int
 	Key  string
-	// Text says what stands there and what is allowed.
+	// Text states the value in the file and the values that are allowed.
 	Text string
 }
 
-// String is the form that people read.
+// String formats the problem as file:line: key: text.
 func (p Problem) String() string {
 	return fmt.Sprintf("%s:%d: %s: %s", p.File, p.Line, p.Key, p.Text)
 }
 
-// Checker collects the problems of one section.
+// Checker collects the problems that the validation of a section finds.
 type Checker struct {
 	section  string
 	settings *settingsFile
 }
 
-// Require reports a problem with a key unless ok holds; want says what is allowed.
+// Require reports a problem with a key of the section unless ok is true. The text want describes the allowed values.
 func (c *Checker) Require(ok bool, key, want string) {
 	if ok {
 		return
@@ -50,10 +51,10 @@
 	if v, found := c.settings.values[full]; found {
 		got = fmt.Sprintf("got %v", v)
 	}
-	c.settings.problem(full, fmt.Sprintf("%s, want %s", got, want))
+	c.settings.addProblem(full, fmt.Sprintf("%s, want %s", got, want))
 }
 
-// settingsFile is a parsed file with the line of each key.
+// settingsFile is a parsed settings file: the line and the value of each key, and the problems found so far.
 type settingsFile struct {
 	name     string
 	lines    map[string]int
@@ -61,11 +62,11 @@
 	problems []Problem
 }
 
-func (f *settingsFile) problem(key, text string) {
+func (f *settingsFile) addProblem(key, text string) {
 	f.problems = append(f.problems, Problem{File: f.name, Line: f.line(key), Key: key, Text: text})
 }
 
-// line is that of the key, of its section, or of the file's first line.
+// line returns the line of the key. For a key that is not in the file it is the line of its section, or else 1.
 func (f *settingsFile) line(key string) int {
 	for {
 		if n, ok := f.lines[key]; ok {
@@ -79,7 +80,7 @@
 	}
 }
 
-// LoadSettings reads a TOML file into sections and returns every problem with it, by line.
+// LoadSettings reads a TOML file into sections and returns all its problems, sorted by line.
 func LoadSettings(name string, sections map[string]Section) []Problem {
 	data, err := os.ReadFile(name)
 	if err != nil {
@@ -99,16 +100,16 @@
 		target, known := sections[s]
 		switch {
 		case !known:
-			f.problem(s, "unknown section, want one of "+strings.Join(sectionNames(sections), ", "))
+			f.addProblem(s, "unknown section, want one of "+strings.Join(sectionNames(sections), ", "))
 		case !ok:
-			f.problem(s, "want a section ["+s+"]")
+			f.addProblem(s, "want a section ["+s+"]")
 		default:
-			f.fill(s, table, target)
+			f.fillSection(s, table, target)
 		}
 	}
-	broken := len(f.problems) > 0
+	hasProblems := len(f.problems) > 0
 	for _, s := range sectionNames(sections) {
-		if !broken {
+		if !hasProblems {
 			sections[s].Check(&Checker{section: s, settings: f})
 		}
 	}
@@ -134,7 +135,7 @@
 	return p
 }
 
-// indexLines finds the line of every key and section.
+// indexLines returns the line number of every key and section of a TOML file.
 func indexLines(data []byte) map[string]int {
 	lines := map[string]int{}
 	p := unstable.Parser{}
@@ -142,13 +143,13 @@
 	section := ""
 	for p.NextExpression() {
 		e := p.Expression()
-		var words []string
+		var segments []string
 		offset := uint32(0)
 		for k := e.Key(); k.Next(); {
-			words = append(words, string(k.Node().Data))
+			segments = append(segments, string(k.Node().Data))
 			offset = k.Node().Raw.Offset
 		}
-		key := strings.Join(words, ".")
+		key := strings.Join(segments, ".")
 		line := 1 + strings.Count(string(data[:offset]), "\n")
 		if e.Kind != unstable.KeyValue {
 			section = key
@@ -160,8 +161,8 @@
 	return lines
 }
 
-// fill copies a table into the section's struct and reports unknown keys and wrong types.
-func (f *settingsFile) fill(section string, table map[string]any, target Section) {
+// fillSection copies a TOML table into the section's struct and reports unknown keys and values of the wrong type.
+func (f *settingsFile) fillSection(section string, table map[string]any, target Section) {
 	v := reflect.ValueOf(target).Elem()
 	fields := map[string]reflect.Value{}
 	var known []string
@@ -175,17 +176,17 @@
 		f.values[full] = value
 		field, ok := fields[key]
 		if !ok {
-			f.problem(full, "unknown key, want one of "+strings.Join(known, ", "))
+			f.addProblem(full, "unknown key, want one of "+strings.Join(known, ", "))
 			continue
 		}
-		if want := assign(field, value); want != "" {
-			f.problem(full, fmt.Sprintf("got %v, want %s", value, want))
+		if want := assignField(field, value); want != "" {
+			f.addProblem(full, fmt.Sprintf("got %v, want %s", value, want))
 		}
 	}
 }
 
-// assign sets a field, or says what it takes.
-func assign(field reflect.Value, value any) string {
+// assignField sets a field to a value. If the type doesn't match it returns a description of the allowed values instead.
+func assignField(field reflect.Value, value any) string {
 	if field.Type() == reflect.TypeFor[time.Duration]() {
 		s, _ := value.(string)
 		d, err := time.ParseDuration(s)
@@ -197,16 +198,16 @@
 	}
 	switch field.Kind() {
 	case reflect.String:
-		return set(field, value, reflect.TypeFor[string](), "a text in quotes")
+		return setScalar(field, value, reflect.TypeFor[string](), "a text in quotes")
 	case reflect.Bool:
-		return set(field, value, reflect.TypeFor[bool](), "true or false")
+		return setScalar(field, value, reflect.TypeFor[bool](), "true or false")
 	case reflect.Int, reflect.Int64:
-		return set(field, value, reflect.TypeFor[int64](), "a whole number")
+		return setScalar(field, value, reflect.TypeFor[int64](), "a whole number")
 	case reflect.Float64:
 		if n, ok := value.(int64); ok {
 			value = float64(n)
 		}
-		return set(field, value, reflect.TypeFor[float64](), "a number")
+		return setScalar(field, value, reflect.TypeFor[float64](), "a number")
 	case reflect.Slice:
 		return setList(field, value)
 	case reflect.Map:
@@ -216,7 +217,7 @@
 	}
 }
 
-func set(field reflect.Value, value any, want reflect.Type, text string) string {
+func setScalar(field reflect.Value, value any, want reflect.Type, text string) string {
 	v := reflect.ValueOf(value)
 	if !v.IsValid() || v.Type() != want {
 		return text
@@ -234,7 +235,7 @@
 	out := reflect.MakeMapWithSize(field.Type(), len(t))
 	for k, e := range t {
 		v := reflect.New(field.Type().Elem()).Elem()
-		if text := set(v, e, reflect.TypeFor[string](), want); text != "" {
+		if text := setScalar(v, e, reflect.TypeFor[string](), want); text != "" {
 			return text
 		}
 		out.SetMapIndex(reflect.ValueOf(k), v)
@@ -251,7 +252,7 @@
 	}
 	out := reflect.MakeSlice(field.Type(), len(l), len(l))
 	for i, e := range l {
-		if text := set(out.Index(i), e, reflect.TypeFor[string](), want); text != "" {
+		if text := setScalar(out.Index(i), e, reflect.TypeFor[string](), want); text != "" {
 			return text
 		}
 	}
