--- a/internal/config/fold.go
+++ b/internal/config/fold.go
@@ -15,12 +15,12 @@
 const (
 	defaultRollouts     = 64
 	defaultVersionBytes = 1 << 40
-	// endedKept bounds the superseded and cancelled rollouts kept per model, for rolling back.
-	endedKept    = 8
-	sha256Bytes  = 32
-	maxChunks    = 1 << 17
-	maxCopies    = 64
-	maxNameBytes = 128
+	// maxEndedRollouts is the number of superseded and cancelled rollouts kept per model, so that a rollout can be rolled back.
+	maxEndedRollouts = 8
+	sha256Bytes      = 32
+	maxChunks        = 1 << 17
+	maxCopies        = 64
+	maxNameBytes     = 128
 )
 
 var (
@@ -28,8 +28,8 @@
 	namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._/:-]{0,127}$`)
 )
 
-// Apply applies the record at an offset. A record that is already folded changes nothing; a gap is ErrGap. A record
-// that can't be decoded changes nothing but the offset, the same way in every process.
+// Apply applies the log record at an offset. A record that was applied before is ignored, and a record that skips an offset
+// is rejected with ErrGap. A record that can't be decoded only advances the offset, so that every process skips it alike.
 func (s *State) Apply(offset id.Offset, data []byte) error {
 	if offset <= s.offset {
 		return nil
@@ -43,33 +43,33 @@
 		return err
 	}
 	if c := r.GetChange(); c != nil {
-		s.foldChange(offset, c)
+		s.applyChange(offset, c)
 	}
 	return nil
 }
 
-func (s *State) foldChange(offset id.Offset, c *pb.Change) {
+func (s *State) applyChange(offset id.Offset, c *pb.Change) {
 	if s.Outcome(id.Organisation(c.GetOrganisation()), id.Change(c.GetChangeId())) != nil {
 		return
 	}
-	reason := s.apply(offset, c)
-	s.remember(&pb.ChangeOutcome{
+	reason := s.applyOperation(offset, c)
+	s.recordOutcome(&pb.ChangeOutcome{
 		ChangeId: c.GetChangeId(), Offset: uint64(offset), Accepted: reason == "", Reason: reason,
 		Organisation: c.GetOrganisation(),
 	})
 }
 
-func (s *State) remember(o *pb.ChangeOutcome) {
+func (s *State) recordOutcome(o *pb.ChangeOutcome) {
 	s.outcomes[keyOf(o)] = o
 	s.outcomeOrder = append(s.outcomeOrder, keyOf(o))
-	if len(s.outcomeOrder) > outcomesKept {
+	if len(s.outcomeOrder) > maxOutcomes {
 		delete(s.outcomes, s.outcomeOrder[0])
 		s.outcomeOrder = s.outcomeOrder[1:]
 	}
 }
 
-// apply changes the state, or returns why the change is rejected.
-func (s *State) apply(offset id.Offset, c *pb.Change) string {
+// applyOperation executes a change, or returns the reason why it is rejected. The reason is stored in the outcome.
+func (s *State) applyOperation(offset id.Offset, c *pb.Change) string {
 	switch o := c.GetOperation().(type) {
 	case *pb.Change_PutOrganisation:
 		return s.putOrganisation(offset, c, o.PutOrganisation.GetOrganisation())
@@ -82,7 +82,7 @@
 	}
 }
 
-func conflict(base, current uint64) string {
+func revisionConflict(base, current uint64) string {
 	if base == current {
 		return ""
 	}
@@ -97,7 +97,7 @@
 		return "the change is for another organisation"
 	}
 	name := id.Organisation(o.GetId())
-	if reason := conflict(c.GetBaseRevision(), s.organisations[name].GetRevision()); reason != "" {
+	if reason := revisionConflict(c.GetBaseRevision(), s.organisations[name].GetRevision()); reason != "" {
 		return reason
 	}
 	next := proto.CloneOf(o)
@@ -121,7 +121,7 @@
 		return "a rollout of this ID exists"
 	}
 	current := s.Current(id.Organisation(org.GetId()), id.Model(r.GetVersion().GetModel()))
-	if reason := conflict(c.GetBaseRevision(), current.GetRevision()); reason != "" {
+	if reason := revisionConflict(c.GetBaseRevision(), current.GetRevision()); reason != "" {
 		return reason
 	}
 	if reason := s.checkQuotas(org, r, current); reason != "" {
@@ -136,10 +136,10 @@
 		next.Objective = org.GetObjective()
 	}
 	if current != nil {
-		s.end(offset, current, pb.RolloutState_ROLLOUT_STATE_SUPERSEDED)
+		s.endRollout(offset, current, pb.RolloutState_ROLLOUT_STATE_SUPERSEDED)
 	}
 	s.rollouts[id.Rollout(next.GetId())] = next
-	s.forgetEnded(next)
+	s.removeOldEnded(next)
 	return ""
 }
 
@@ -175,36 +175,36 @@
 	if r.GetState() != pb.RolloutState_ROLLOUT_STATE_ACTIVE {
 		return "the rollout has ended"
 	}
-	if reason := conflict(c.GetBaseRevision(), r.GetRevision()); reason != "" {
+	if reason := revisionConflict(c.GetBaseRevision(), r.GetRevision()); reason != "" {
 		return reason
 	}
-	s.end(offset, r, pb.RolloutState_ROLLOUT_STATE_CANCELLED)
+	s.endRollout(offset, r, pb.RolloutState_ROLLOUT_STATE_CANCELLED)
 	return ""
 }
 
-func (s *State) end(offset id.Offset, r *pb.Rollout, state pb.RolloutState) {
+func (s *State) endRollout(offset id.Offset, r *pb.Rollout, state pb.RolloutState) {
 	next := proto.CloneOf(r)
 	next.State = state
 	next.Revision = uint64(offset)
 	s.rollouts[id.Rollout(r.GetId())] = next
 }
 
-// forgetEnded drops the oldest ended rollouts of a model beyond those kept.
-func (s *State) forgetEnded(of *pb.Rollout) {
+// removeOldEnded removes the oldest ended rollouts of a model once there are more than maxEndedRollouts.
+func (s *State) removeOldEnded(rollout *pb.Rollout) {
 	var ended []*pb.Rollout
 	for _, r := range s.Rollouts() {
-		same := r.GetOrganisation() == of.GetOrganisation() && r.GetVersion().GetModel() == of.GetVersion().GetModel()
+		same := r.GetOrganisation() == rollout.GetOrganisation() && r.GetVersion().GetModel() == rollout.GetVersion().GetModel()
 		if same && r.GetState() != pb.RolloutState_ROLLOUT_STATE_ACTIVE {
 			ended = append(ended, r)
 		}
 	}
-	for len(ended) > endedKept {
+	for len(ended) > maxEndedRollouts {
 		delete(s.rollouts, id.Rollout(ended[0].GetId()))
 		ended = ended[1:]
 	}
 }
 
-// CheckOrganisation says what is wrong with an organisation, or nothing.
+// CheckOrganisation validates an organisation. It returns the reason why it is invalid, or an empty string.
 func CheckOrganisation(o *pb.Organisation) string {
 	if !idPattern.MatchString(o.GetId()) {
 		return "organisation.id wants 1 to 63 lower-case letters, digits and dashes"
@@ -217,7 +217,7 @@
 	return ""
 }
 
-// CheckRollout says what is wrong with a wanted rollout, or nothing.
+// CheckRollout validates a new rollout. It returns the reason why it is invalid, or an empty string.
 func CheckRollout(r *pb.Rollout) string {
 	v := r.GetVersion()
 	switch {
@@ -243,7 +243,7 @@
 	return ""
 }
 
-// ChunkCount is the number of chunks of a version.
+// ChunkCount returns the number of chunks of a version.
 func ChunkCount(v *pb.Version) uint64 {
 	if v.GetChunkBytes() == 0 {
 		return 0
@@ -251,7 +251,7 @@
 	return (v.GetTotalBytes()-1)/v.GetChunkBytes() + 1
 }
 
-// NotBefore is when the rollout may take traffic at the earliest; zero is at once.
+// NotBefore returns the earliest time at which the rollout may receive traffic. The zero time means immediately.
 func NotBefore(r *pb.Rollout) time.Time {
 	if r.GetNotBeforeUnixMs() == 0 {
 		return time.Time{}
@@ -259,7 +259,8 @@
 	return time.UnixMilli(r.GetNotBeforeUnixMs())
 }
 
-// IsTarget says whether a VM should hold the rollout's version.
+// IsTarget reports whether a VM should hold the rollout's version: it is an upstream with an engine, and in the pool and
+// the failure domains that the rollout targets.
 func IsTarget(r *pb.Rollout, v *pb.VM) bool {
 	if v.GetRole() != "upstream" || !v.GetEngine() {
 		return false
--- a/internal/config/fold_test.go
+++ b/internal/config/fold_test.go
@@ -15,10 +15,10 @@
 )
 
 func TestConfig(t *testing.T) {
-	spec.Run(t, "The configuration's fold")
+	spec.Run(t, "The configuration state")
 }
 
-// organisations that the generated histories are about.
+// organisations are the names that the generated changes use.
 var organisations = []string{"gym", "hut", "fit"}
 
 func encode(c *pb.Change) []byte {
@@ -36,7 +36,7 @@
 	}
 }
 
-// drawChange makes a change as an operator with an older or newer view would.
+// drawChange generates a change based on the current revision or on a stale one.
 func drawChange(t *rapid.T, n int, s *State) *pb.Change {
 	o := rapid.SampledFrom(organisations).Draw(t, "organisation")
 	c := &pb.Change{ChangeId: fmt.Sprintf("c%d", rapid.IntRange(0, n).Draw(t, "change")), Organisation: o}
@@ -59,7 +59,7 @@
 	return c
 }
 
-// checkState looks at what must hold after each record.
+// checkState checks the invariant that each model has at most one active rollout.
 func checkState(t *rapid.T, s *State) {
 	current := map[string]int{}
 	for _, r := range s.Rollouts() {
@@ -74,21 +74,21 @@
 	}
 }
 
-var _ = Describe("the fold", func() {
-	It("gives one state from one log, through duplicates, snapshots and restarts, and never goes back", func() {
+var _ = Describe("applying records", func() {
+	It("gives the same state with duplicate changes, repeated records and a restart from a snapshot, and keeps outcomes", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			whole, restarted := NewState(), NewState()
+			full, restarted := NewState(), NewState()
 			var log [][]byte
 			accepted := map[string]bool{}
 			for n := range rapid.IntRange(1, 40).Draw(t, "records") {
-				c := drawChange(t, n, whole)
+				c := drawChange(t, n, full)
 				log = append(log, encode(c))
-				known := whole.Outcome(id.Organisation(c.GetOrganisation()), id.Change(c.GetChangeId()))
-				before := proto.CloneOf(whole.Snapshot())
-				if err := whole.Apply(id.Offset(len(log)), log[len(log)-1]); err != nil {
+				known := full.Outcome(id.Organisation(c.GetOrganisation()), id.Change(c.GetChangeId()))
+				before := proto.CloneOf(full.Snapshot())
+				if err := full.Apply(id.Offset(len(log)), log[len(log)-1]); err != nil {
 					t.Fatal(err)
 				}
-				o := whole.Outcome(id.Organisation(c.GetOrganisation()), id.Change(c.GetChangeId()))
+				o := full.Outcome(id.Organisation(c.GetOrganisation()), id.Change(c.GetChangeId()))
 				key := c.GetOrganisation() + "/" + c.GetChangeId()
 				if known != nil && !proto.Equal(known, o) {
 					t.Fatalf("the outcome of %s changed", key)
@@ -101,13 +101,13 @@
 				}
 				if known != nil || !o.GetAccepted() {
 					before.Offset, before.Outcomes = 0, nil
-					after := proto.CloneOf(whole.Snapshot())
+					after := proto.CloneOf(full.Snapshot())
 					after.Offset, after.Outcomes = 0, nil
 					if !proto.Equal(before, after) {
 						t.Fatalf("%s was rejected or a duplicate and changed the state", key)
 					}
 				}
-				checkState(t, whole)
+				checkState(t, full)
 			}
 			cut := rapid.IntRange(0, len(log)).Draw(t, "snapshot")
 			for i := range cut {
@@ -123,26 +123,26 @@
 					t.Fatal(err)
 				}
 			}
-			if !proto.Equal(whole.Snapshot(), restarted.Snapshot()) {
+			if !proto.Equal(full.Snapshot(), restarted.Snapshot()) {
 				t.Fatalf("a restart from a snapshot gives another state")
 			}
 		})
 	})
 
-	It("never skips a gap", func() {
+	It("rejects a record after a gap", func() {
 		s := NewState()
 		Expect(s.Apply(2, encode(&pb.Change{}))).To(MatchError(ErrGap))
 		Expect(s.Offset()).To(BeZero())
 	})
 
-	It("counts a record that can't be decoded and goes on, the same way everywhere", func() {
+	It("advances the offset past a record that can't be decoded and applies the next one", func() {
 		s := NewState()
 		Expect(s.Apply(1, []byte{0xff})).To(MatchError(ErrInvalidRecord))
 		Expect(s.Offset()).To(Equal(id.Offset(1)))
 		Expect(s.Apply(2, encode(&pb.Change{ChangeId: "x"}))).To(Succeed())
 	})
 
-	It("holds organisations to their quotas", func() {
+	It("enforces the quotas of organisations", func() {
 		s := NewState()
 		Expect(s.Apply(1, encode(&pb.Change{ChangeId: "o", Organisation: "gym", Operation: &pb.Change_PutOrganisation{
 			PutOrganisation: &pb.PutOrganisation{Organisation: &pb.Organisation{Id: "gym", Quotas: &pb.Quotas{Rollouts: 1, VersionBytes: 10}}},
@@ -160,7 +160,7 @@
 	})
 })
 
-func FuzzFold(f *testing.F) {
+func FuzzApply(f *testing.F) {
 	f.Add([]byte{})
 	f.Add([]byte{0x0a, 0x02, 0x0a, 0x00})
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -1,5 +1,5 @@
-// Package config folds the platform's log into the configuration. It is pure: the same records give the same state
-// in every process, whatever the time.
+// Package config computes the configuration from the records of the platform's log. It is deterministic: the same records
+// produce the same state in every process, independent of the clock.
 package config
 
 import (
@@ -15,16 +15,16 @@
 )
 
 var (
-	// ErrGap says that a record is not the next one; nothing was folded.
+	// ErrGap is returned for a record that does not directly follow the last one. The record is not applied.
 	ErrGap = errors.New("records are missing before this one")
-	// ErrInvalidRecord says that a record can't be decoded.
+	// ErrInvalidRecord is returned for a record that can't be decoded.
 	ErrInvalidRecord = errors.New("record can't be decoded")
 )
 
-// outcomesKept bounds the changes whose outcome can be asked for: a week's at 550 a day.
-const outcomesKept = 4096
+// maxOutcomes is the number of newest changes whose outcome can be queried: those of a week at 550 changes a day.
+const maxOutcomes = 4096
 
-// changeKey names a change; organisations do not see each other's.
+// changeKey identifies a change. Change IDs are scoped to an organisation, as organisations don't see each other's changes.
 type changeKey struct {
 	organisation id.Organisation
 	change       id.Change
@@ -34,7 +34,7 @@
 	return changeKey{organisation: id.Organisation(o.GetOrganisation()), change: id.Change(o.GetChangeId())}
 }
 
-// State is the configuration after a log offset. Methods that return messages return shared ones: do not change them.
+// State is the configuration as of a log offset. The messages that its methods return are shared and must not be modified.
 type State struct {
 	offset        id.Offset
 	organisations map[id.Organisation]*pb.Organisation
@@ -52,7 +52,7 @@
 	}
 }
 
-// FromSnapshot makes the state that a snapshot holds.
+// FromSnapshot restores the state from a snapshot.
 func FromSnapshot(m *pb.State) *State {
 	s := NewState()
 	s.offset = id.Offset(m.GetOffset())
@@ -69,7 +69,7 @@
 	return s
 }
 
-// Snapshot returns the state as a message, in a fixed order.
+// Snapshot returns the state as a message. Its lists are sorted, so that equal states give equal messages.
 func (s *State) Snapshot() *pb.State {
 	m := &pb.State{Offset: uint64(s.offset), Organisations: s.Organisations(), Rollouts: s.Rollouts()}
 	for _, c := range s.outcomeOrder {
@@ -78,7 +78,7 @@
 	return m
 }
 
-// Clone returns a copy that folds on its own; messages are shared as the fold replaces and never changes them.
+// Clone returns an independent copy of the state. The messages are shared, as Apply replaces them and never modifies them.
 func (s *State) Clone() *State {
 	c := NewState()
 	c.offset = s.offset
@@ -95,17 +95,17 @@
 	return c
 }
 
-// Offset is the offset of the last record that was folded.
+// Offset returns the offset of the last applied record.
 func (s *State) Offset() id.Offset {
 	return s.offset
 }
 
-// Organisation returns an organisation or nil.
+// Organisation returns the organisation of the given name, or nil if there is none.
 func (s *State) Organisation(o id.Organisation) *pb.Organisation {
 	return s.organisations[o]
 }
 
-// Organisations returns all organisations by name.
+// Organisations returns all organisations, sorted by name.
 func (s *State) Organisations() []*pb.Organisation {
 	var l []*pb.Organisation
 	for _, o := range s.organisations {
@@ -115,12 +115,12 @@
 	return l
 }
 
-// Rollout returns a rollout or nil.
+// Rollout returns the rollout of the given ID, or nil if there is none.
 func (s *State) Rollout(r id.Rollout) *pb.Rollout {
 	return s.rollouts[r]
 }
 
-// Rollouts returns all rollouts, oldest first.
+// Rollouts returns all rollouts, active and ended, oldest first.
 func (s *State) Rollouts() []*pb.Rollout {
 	var l []*pb.Rollout
 	for _, r := range s.rollouts {
@@ -142,7 +142,7 @@
 	})
 }
 
-// Current returns the active rollout of a model or nil.
+// Current returns the active rollout of a model, or nil if there is none.
 func (s *State) Current(o id.Organisation, m id.Model) *pb.Rollout {
 	for _, r := range s.rollouts {
 		if r.GetState() == pb.RolloutState_ROLLOUT_STATE_ACTIVE &&
@@ -153,7 +153,8 @@
 	return nil
 }
 
-// Previous returns the newest rollout of the same model with other content before this one, or nil.
+// Previous returns the rollout to roll back to: the newest earlier one of the same model that has other content and was not
+// cancelled. It returns nil if there is none.
 func (s *State) Previous(r *pb.Rollout) *pb.Rollout {
 	var found *pb.Rollout
 	for _, p := range s.Rollouts() {
@@ -167,12 +168,12 @@
 	return found
 }
 
-// Outcome says what became of a change, or nil when the state does not know it.
+// Outcome returns the outcome of a change, or nil if the change was not applied or its outcome is no longer kept.
 func (s *State) Outcome(o id.Organisation, c id.Change) *pb.ChangeOutcome {
 	return s.outcomes[changeKey{organisation: o, change: c}]
 }
 
-// Decode reads a record of the log.
+// Decode parses a record of the log.
 func Decode(data []byte) (*pb.Record, error) {
 	r := &pb.Record{}
 	if err := proto.Unmarshal(data, r); err != nil {
