--- a/internal/configlog/change.go
+++ b/internal/configlog/change.go
@@ -13,30 +13,31 @@
 )
 
 var (
-	// ErrOutcomeUnknown says that a change was not seen by the deadline; it may still come into force.
+	// ErrOutcomeUnknown is returned for a change that was not read back before the deadline. It may still take effect.
 	ErrOutcomeUnknown = errors.New("outcome unknown")
-	// ErrRejected says that the fold rejected a change.
+	// ErrRejected is returned for a change that the configuration rejected when it was applied.
 	ErrRejected = errors.New("change rejected")
 )
 
-// appendRetry is the pause before a change is appended again; a change ID that comes twice counts once.
+// appendRetry is the delay before an unconfirmed change is appended again. That is safe, as a change ID is applied once.
 const appendRetry = 500 * time.Millisecond
 
-// ChangeWriter appends changes and answers once they are read back.
+// ChangeWriter appends changes to the log and waits until they are read back.
 type ChangeWriter struct {
 	store  *Store
 	append func(ctx context.Context, data []byte) (id.Offset, error)
-	// retry waits until a change may be appended again.
+	// retry returns a channel that receives when the change may be appended again.
 	retry func() <-chan time.Time
 }
 
-// NewChangeWriter makes a ChangeWriter over a store that a Tail keeps up to date.
+// NewChangeWriter returns a ChangeWriter that appends with the function add and reads changes back from a store, which a Tail
+// keeps up to date.
 func NewChangeWriter(s *Store, add func(ctx context.Context, data []byte) (id.Offset, error)) *ChangeWriter {
 	return &ChangeWriter{store: s, append: add, retry: func() <-chan time.Time { return time.After(appendRetry) }}
 }
 
-// Submit appends a change and waits until the store has folded it. The error is ErrRejected with the reason, or
-// ErrOutcomeUnknown at the context's deadline.
+// Submit appends a change and waits until the store has applied it. It returns ErrRejected with the reason if the change was
+// rejected, and ErrOutcomeUnknown if the context ends first.
 func (c *ChangeWriter) Submit(ctx context.Context, m *pb.Change) (*pb.ChangeOutcome, error) {
 	data, err := proto.Marshal(&pb.Record{Body: &pb.Record_Change{Change: m}})
 	if err != nil {
@@ -49,7 +50,7 @@
 			return o, rejection(o)
 		}
 		if !appended {
-			appended = c.try(ctx, data)
+			appended = c.tryAppend(ctx, data)
 			if appended {
 				continue
 			}
@@ -67,8 +68,8 @@
 	}
 }
 
-// try appends once and says whether the log confirmed it.
-func (c *ChangeWriter) try(ctx context.Context, data []byte) bool {
+// tryAppend appends the record once and reports whether the log confirmed it.
+func (c *ChangeWriter) tryAppend(ctx context.Context, data []byte) bool {
 	_, err := c.append(ctx, data)
 	return err == nil
 }
--- a/internal/configlog/part.go
+++ b/internal/configlog/part.go
@@ -14,17 +14,18 @@
 	"github.com/springrail/springrail/internal/platform"
 )
 
-// PartName is what other parts name in their needs.
+// PartName is the name of this part in the Needs of other parts.
 const PartName = "config log"
 
-// rankWait separates the entries that may write a snapshot, so that usually one does.
+// rankWait is the delay per rank before an entry writes a snapshot that is due, so that usually only one entry writes it.
 const rankWait = 2 * time.Second
 
-// Settings is the section [config_log].
+// Settings is the settings section [config_log].
 type Settings struct {
 	// SnapshotRecords is the number of records after which a snapshot is written.
 	SnapshotRecords int `toml:"snapshot_records"`
-	// SnapshotAge is the age at which a snapshot is written anew; keep it well below the log's retention.
+	// SnapshotAge is the age of the newest snapshot at which another one is written. It must be well below the retention of
+	// the log, as a new process starts from a snapshot once the first records have expired.
 	SnapshotAge time.Duration `toml:"snapshot_age"`
 }
 
@@ -46,7 +47,7 @@
 	})
 }
 
-// Part is the config log of an entry.
+// Part is the configuration log of an entry: the local configuration, its reader and its writer.
 type Part struct {
 	*Store
 	*ChangeWriter
@@ -54,7 +55,8 @@
 	host     *kernel.Host
 	settings *Settings
 	platform *platform.Client
-	// peers and rank are set by the parts that know the other entries.
+	// peers reads the configuration from another entry, and rank is the position of this entry among the live ones.
+	// SetPeers sets both.
 	peers atomic.Pointer[func(ctx context.Context) error]
 	rank  atomic.Pointer[func() int]
 }
@@ -69,7 +71,8 @@
 	return c, nil
 }
 
-// SetPeers gives the part a way to catch up from other entries and its place among the live ones.
+// SetPeers sets the function that reads missing records from other entries, and the one that returns the rank of this entry
+// among the live ones.
 func (p *Part) SetPeers(catchUp func(ctx context.Context) error, rank func() int) {
 	p.peers.Store(&catchUp)
 	p.rank.Store(&rank)
@@ -85,13 +88,13 @@
 
 // Run follows the log until the context ends.
 func (p *Part) Run(ctx context.Context) error {
-	go p.snapshots(ctx)
+	go p.writeSnapshots(ctx)
 	p.tail.Run(ctx)
 	return nil
 }
 
-// snapshots writes a snapshot where one is due and no entry of a better rank has.
-func (p *Part) snapshots(ctx context.Context) {
+// writeSnapshots writes a snapshot whenever one is due and no entry of a lower rank has written it.
+func (p *Part) writeSnapshots(ctx context.Context) {
 	started := time.Now()
 	var due time.Time
 	for ctx.Err() == nil {
@@ -101,7 +104,7 @@
 			continue
 		}
 		if due.IsZero() {
-			due = time.Now().Add(time.Duration(p.ownRank()) * rankWait)
+			due = time.Now().Add(time.Duration(p.currentRank()) * rankWait)
 		}
 		if time.Now().After(due) {
 			p.writeSnapshot(ctx)
@@ -110,7 +113,7 @@
 	}
 }
 
-func (p *Part) ownRank() int {
+func (p *Part) currentRank() int {
 	if f := p.rank.Load(); f != nil {
 		return (*f)()
 	}
@@ -133,11 +136,11 @@
 	m := p.State().Snapshot()
 	data, err := proto.Marshal(&pb.Record{Body: &pb.Record_Snapshot{Snapshot: m}})
 	if err != nil {
-		p.host.Log.Error().Err(err).Msg("snapshot can't be encoded")
+		p.host.Log.Error().Err(err).Msg("the configuration snapshot can't be encoded")
 		return
 	}
 	if _, err := p.platform.Append(ctx, data); err != nil {
-		p.host.Log.Warn().Err(err).Msg("snapshot not confirmed")
+		p.host.Log.Warn().Err(err).Msg("the log has not confirmed the configuration snapshot; it is written again if it is still due")
 		return
 	}
 	p.host.Events.Add(kernel.Event{Kind: kernel.EventSnapshotWritten})
--- a/internal/configlog/store.go
+++ b/internal/configlog/store.go
@@ -1,4 +1,5 @@
-// Package configlog holds a process's configuration, follows the platform's log, and appends operators' changes.
+// Package configlog keeps the configuration of a process up to date from the platform's log, and appends operators' changes
+// to it.
 package configlog
 
 import (
@@ -10,47 +11,47 @@
 	"github.com/springrail/springrail/internal/kernel"
 )
 
-// recentKept bounds the records held for processes that are a little behind.
-const recentKept = 2048
+// maxRecentRecords is the number of newest records kept for other processes; those that are further behind get a snapshot.
+const maxRecentRecords = 2048
 
-// Store is the newest configuration of a process. It never goes back.
+// Store holds the newest configuration that a process knows. Its offset never decreases.
 type Store struct {
-	mu     sync.Mutex
-	state  *config.State
-	recent []*pb.LogRecord
-	ready  bool
-	change chan struct{}
-	// observe notes the time of each change that is folded.
+	mu      sync.Mutex
+	state   *config.State
+	recent  []*pb.LogRecord
+	ready   bool
+	changed chan struct{}
+	// observe advances the process's clock past the timestamp of each applied change.
 	observe func(t kernel.Time)
 }
 
-// NewStore makes a store before the first record; it is not ready.
+// NewStore returns an empty store, which is not ready.
 func NewStore(observe func(t kernel.Time)) *Store {
-	return &Store{state: config.NewState(), change: make(chan struct{}), observe: observe}
+	return &Store{state: config.NewState(), changed: make(chan struct{}), observe: observe}
 }
 
-// State returns the newest configuration. It is not changed after it is returned.
+// State returns the newest configuration. The returned state is immutable.
 func (s *Store) State() *config.State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state
 }
 
-// Changed returns a channel that closes at the next change of state or readiness.
+// Changed returns a channel that is closed when the state or the readiness next changes.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.change
+	return s.changed
 }
 
-// Ready says whether the store has once held all that its source had.
+// Ready reports whether the store has caught up with its source at least once.
 func (s *Store) Ready() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.ready
 }
 
-// SetReady notes that the store holds all that its source has.
+// SetReady marks the store as caught up with its source.
 func (s *Store) SetReady() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,12 +62,12 @@
 }
 
 func (s *Store) notify() {
-	close(s.change)
-	s.change = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// Apply applies records in order and returns how many were new. Records that can't be decoded are skipped, as in
-// every other process; a gap stops the fold with config.ErrGap.
+// Apply applies records in order and returns the number of new ones. Records that can't be decoded are skipped, as in every
+// other process. At a missing record it stops and returns config.ErrGap.
 func (s *Store) Apply(records []*pb.LogRecord) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,29 +85,29 @@
 			continue
 		}
 		fresh = append(fresh, r)
-		s.noteTime(r)
+		s.observeTime(r)
 	}
 	if len(fresh) == 0 {
 		return 0, failed
 	}
 	s.state = next
 	s.recent = append(s.recent, fresh...)
-	if extra := len(s.recent) - recentKept; extra > 0 {
+	if extra := len(s.recent) - maxRecentRecords; extra > 0 {
 		s.recent = append([]*pb.LogRecord(nil), s.recent[extra:]...)
 	}
 	s.notify()
 	return len(fresh), failed
 }
 
-// noteTime lets the time line's order run through the log.
-func (s *Store) noteTime(r *pb.LogRecord) {
+// observeTime advances the clock past the timestamp of a change, so that events caused by the change sort after it.
+func (s *Store) observeTime(r *pb.LogRecord) {
 	m, err := config.Decode(r.GetData())
 	if at := m.GetChange().GetAt(); err == nil && at != nil {
 		s.observe(kernel.Time{WallUnixMs: at.GetWallUnixMs(), Logical: at.GetLogical()})
 	}
 }
 
-// RestoreSnapshot takes a snapshot if it is ahead of the store and says whether it did.
+// RestoreSnapshot replaces the state by a snapshot if that is newer, and reports whether it was.
 func (s *Store) RestoreSnapshot(m *pb.State) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -119,7 +120,7 @@
 	return true
 }
 
-// RecordsAfter returns the records after an offset, or a snapshot where they are no longer held.
+// RecordsAfter returns the records after an offset, or a snapshot if the store no longer holds all of them.
 func (s *Store) RecordsAfter(offset id.Offset) ([]*pb.LogRecord, *pb.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -129,11 +130,11 @@
 	if len(s.recent) == 0 || s.recent[0].GetOffset() > uint64(offset)+1 {
 		return nil, s.state.Snapshot()
 	}
-	skip := uint64(offset) + 1 - s.recent[0].GetOffset()
-	return s.recent[skip:], nil
+	skipped := uint64(offset) + 1 - s.recent[0].GetOffset()
+	return s.recent[skipped:], nil
 }
 
-// NotReady says what is missing before the process can serve, or nothing.
+// NotReady implements kernel.ReadinessReporter.
 func (s *Store) NotReady() string {
 	if s.Ready() {
 		return ""
--- a/internal/configlog/tail.go
+++ b/internal/configlog/tail.go
@@ -16,31 +16,32 @@
 )
 
 const (
-	// readLimit bounds the records of one read.
+	// readLimit is the maximum number of records of a read.
 	readLimit = 1000
-	// readWait is how long one read waits for a record.
+	// readWait is the long-poll timeout: how long a read waits for a new record.
 	readWait = 5 * time.Second
-	// readRetry is the pause after a failed read.
+	// readRetry is the delay after a failed read.
 	readRetry = 250 * time.Millisecond
 )
 
-// ErrNoSnapshot says that the log has lost its oldest records and holds no usable snapshot.
-var ErrNoSnapshot = errors.New("the log's oldest records are gone and it holds no snapshot that replaces them")
+// ErrNoSnapshot is returned if the oldest records of the log have expired and no snapshot in the log replaces them.
+var ErrNoSnapshot = errors.New("the oldest records of the log have expired and it holds no snapshot that replaces them")
 
-// Tail follows the platform's log into a store.
+// Tail reads new records of the platform's log into a store.
 type Tail struct {
 	store *Store
 	log   *log.Logger
 	read  func(ctx context.Context, from id.Offset, limit int, wait time.Duration) (platform.Batch, error)
-	// peers brings the store up to date from another process; it is tried while the log can't be read.
+	// peers reads missing records from another process. It is called while the log can't be read.
 	peers func(ctx context.Context) error
 	mu    sync.Mutex
-	// snapshotSeen is when the newest snapshot record was read; zero when none was.
+	// snapshotSeen is the time at which the newest snapshot record was read, or zero if none was. snapshotAfter is the offset
+	// of the last record that this snapshot covers.
 	snapshotSeen  time.Time
 	snapshotAfter id.Offset
 }
 
-// NewTail makes a Tail with its seams.
+// NewTail returns a Tail that reads the log with the function read, and from other processes with the function peers.
 func NewTail(s *Store, l *log.Logger,
 	read func(ctx context.Context, from id.Offset, limit int, wait time.Duration) (platform.Batch, error),
 	peers func(ctx context.Context) error,
@@ -48,14 +49,14 @@
 	return &Tail{store: s, log: l, read: read, peers: peers}
 }
 
-// Run follows the log until the context ends.
+// Run reads the log until the context ends.
 func (t *Tail) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := t.step(ctx)
+		err := t.readOnce(ctx)
 		if err == nil || ctx.Err() != nil {
 			continue
 		}
-		t.log.Warn().Err(err).Msg("the platform's log can't be read; asking other entries")
+		t.log.Warn().Err(err).Msg("the platform's log can't be read; reading from other entries")
 		if err := t.peers(ctx); err == nil {
 			t.store.SetReady()
 		}
@@ -70,8 +71,8 @@
 	}
 }
 
-// step does one read and folds what it brought.
-func (t *Tail) step(ctx context.Context) error {
+// readOnce reads a batch of records and applies it.
+func (t *Tail) readOnce(ctx context.Context) error {
 	from := t.store.State().Offset() + 1
 	wait := readWait
 	if !t.store.Ready() {
@@ -79,12 +80,12 @@
 	}
 	b, err := t.read(ctx, from, readLimit, wait)
 	if errors.Is(err, platform.ErrOffsetExpired) {
-		return t.recover(ctx, b)
+		return t.restore(ctx, b)
 	}
 	if err != nil {
 		return err
 	}
-	if err := t.fold(b.Records); err != nil {
+	if err := t.apply(b.Records); err != nil {
 		return err
 	}
 	if t.store.State().Offset()+1 >= b.Next {
@@ -93,7 +94,7 @@
 	return nil
 }
 
-func (t *Tail) fold(records []*pb.LogRecord) error {
+func (t *Tail) apply(records []*pb.LogRecord) error {
 	_, err := t.store.Apply(records)
 	for _, r := range records {
 		t.noteSnapshot(r)
@@ -113,17 +114,17 @@
 	return d.GetSnapshot()
 }
 
-// lastSnapshot says when the newest snapshot record was read and the offset that it holds.
+// lastSnapshot returns the time at which the newest snapshot record was read, and the last offset that the snapshot covers.
 func (t *Tail) lastSnapshot() (time.Time, id.Offset) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.snapshotSeen, t.snapshotAfter
 }
 
-// recover starts from the newest snapshot whose next record the log still keeps.
-func (t *Tail) recover(ctx context.Context, b platform.Batch) error {
-	var best *pb.State
-	var held []*pb.LogRecord
+// restore reads the whole log and restores the newest snapshot whose next record is still in the log.
+func (t *Tail) restore(ctx context.Context, b platform.Batch) error {
+	var newest *pb.State
+	var records []*pb.LogRecord
 	for from, end := b.First, b.Next; from < end; {
 		got, err := t.read(ctx, from, readLimit, 0)
 		if err != nil {
@@ -134,21 +135,21 @@
 		}
 		for _, r := range got.Records {
 			if s := t.noteSnapshot(r); s != nil && id.Offset(s.GetOffset())+1 >= got.First {
-				best = s
+				newest = s
 			}
 		}
-		held = append(held, got.Records...)
-		from = id.Offset(held[len(held)-1].GetOffset()) + 1
+		records = append(records, got.Records...)
+		from = id.Offset(records[len(records)-1].GetOffset()) + 1
 	}
-	if best == nil {
+	if newest == nil {
 		return trace.Wrap(ErrNoSnapshot, "oldest record %d", b.First)
 	}
-	t.store.RestoreSnapshot(best)
+	t.store.RestoreSnapshot(newest)
 	start := t.store.State().Offset()
-	for len(held) > 0 && id.Offset(held[0].GetOffset()) <= start {
-		held = held[1:]
+	for len(records) > 0 && id.Offset(records[0].GetOffset()) <= start {
+		records = records[1:]
 	}
-	if _, err := t.store.Apply(held); err != nil {
+	if _, err := t.store.Apply(records); err != nil {
 		return err
 	}
 	t.store.SetReady()
--- a/internal/configlog/tail_test.go
+++ b/internal/configlog/tail_test.go
@@ -22,10 +22,10 @@
 )
 
 func TestConfigLog(t *testing.T) {
-	spec.Run(t, "The config log")
+	spec.Run(t, "The configuration log")
 }
 
-// fakeLog is the platform's log in memory; fail decides which calls get no answer.
+// fakeLog is an in-memory log of the platform. A call fails when the function fail returns true.
 type fakeLog struct {
 	mu      sync.Mutex
 	first   id.Offset
@@ -66,7 +66,7 @@
 	return b, nil
 }
 
-// expire drops the records before an offset.
+// expire removes the records before an offset.
 func (f *fakeLog) expire(before id.Offset) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -79,7 +79,7 @@
 	return NewTail(s, &log.Logger{Level: log.PanicLevel}, f.read, func(context.Context) error { return platform.ErrUnavailable }), s
 }
 
-func organisation(i int) *pb.Change {
+func putOrganisationChange(i int) *pb.Change {
 	name := fmt.Sprintf("o%d", i)
 	return &pb.Change{ChangeId: name, Organisation: name, Operation: &pb.Change_PutOrganisation{
 		PutOrganisation: &pb.PutOrganisation{Organisation: &pb.Organisation{Id: name}},
@@ -89,41 +89,41 @@
 var _ = Describe("a reader", func() {
 	ctx := context.Background()
 
-	It("starts from the newest snapshot whose next record is still there", func() {
+	It("starts from the newest snapshot whose next record is still in the log", func() {
 		f := newFakeLog()
 		writer, full := newTail(f)
 		for i := range 10 {
-			data, _ := proto.Marshal(&pb.Record{Body: &pb.Record_Change{Change: organisation(i)}})
+			data, _ := proto.Marshal(&pb.Record{Body: &pb.Record_Change{Change: putOrganisationChange(i)}})
 			_, _ = f.append(ctx, data)
 			if i == 4 {
-				Expect(writer.step(ctx)).To(Succeed())
+				Expect(writer.readOnce(ctx)).To(Succeed())
 				snapshot, _ := proto.Marshal(&pb.Record{Body: &pb.Record_Snapshot{Snapshot: full.State().Snapshot()}})
 				_, _ = f.append(ctx, snapshot)
 			}
 		}
-		Expect(writer.step(ctx)).To(Succeed())
+		Expect(writer.readOnce(ctx)).To(Succeed())
 		f.expire(6)
 		reader, s := newTail(f)
-		Expect(reader.step(ctx)).To(Succeed())
+		Expect(reader.readOnce(ctx)).To(Succeed())
 		Expect(s.Ready()).To(BeTrue())
 		Expect(proto.Equal(s.State().Snapshot(), full.State().Snapshot())).To(BeTrue())
 	})
 
-	It("is not ready where the oldest records are gone and no snapshot replaces them", func() {
+	It("is not ready if the oldest records have expired and no snapshot replaces them", func() {
 		f := newFakeLog()
 		for i := range 5 {
-			data, _ := proto.Marshal(&pb.Record{Body: &pb.Record_Change{Change: organisation(i)}})
+			data, _ := proto.Marshal(&pb.Record{Body: &pb.Record_Change{Change: putOrganisationChange(i)}})
 			_, _ = f.append(ctx, data)
 		}
 		f.expire(3)
 		reader, s := newTail(f)
-		Expect(reader.step(ctx)).To(MatchError(ErrNoSnapshot))
+		Expect(reader.readOnce(ctx)).To(MatchError(ErrNoSnapshot))
 		Expect(s.NotReady()).NotTo(BeEmpty())
 	})
 })
 
 var _ = Describe("a change", func() {
-	It("is answered as what the log made of it, through lost calls and answers, and counts once", func() {
+	It("is applied once and returns its outcome, though calls and responses get lost", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			f := newFakeLog()
 			random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
@@ -135,7 +135,7 @@
 			go func() {
 				defer close(done)
 				for reading.Err() == nil {
-					_ = tail.step(reading)
+					_ = tail.readOnce(reading)
 					time.Sleep(20 * time.Microsecond)
 				}
 			}()
@@ -143,7 +143,7 @@
 			c.retry = func() <-chan time.Time { return time.After(20 * time.Microsecond) }
 			for i := range rapid.IntRange(1, 3).Draw(t, "changes") {
 				ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
-				o, err := c.Submit(ctx, organisation(i))
+				o, err := c.Submit(ctx, putOrganisationChange(i))
 				stop()
 				if err != nil || !o.GetAccepted() {
 					t.Fatalf("change %d: %v", i, err)
