--- a/internal/operatorapi/authority.go
+++ b/internal/operatorapi/authority.go
@@ -16,23 +16,23 @@
 )
 
 var (
-	// ErrUnauthenticated says that a call shows no token that is in force.
+	// ErrUnauthenticated is returned for a call without a valid token.
 	ErrUnauthenticated = errors.New("the call needs the header Authorization: Bearer with an operator token that is in force")
-	// ErrNotFound says that there is no such thing, or that it belongs to another organisation.
+	// ErrNotFound is returned if the requested object does not exist or belongs to another organisation.
 	ErrNotFound = errors.New("not found")
 )
 
-// principal is who makes a call.
+// principal is the authenticated caller.
 type principal struct {
-	// admin is true for the fleet's administrator, who may touch all organisations.
+	// admin is true for an administrator of the fleet, who has access to all organisations.
 	admin bool
-	// organisation is whose token it is.
+	// organisation is the organisation that the token belongs to; it is empty for an administrator.
 	organisation id.Organisation
-	// name is what the audit shows.
+	// name identifies the caller in changes and events, for audits.
 	name string
 }
 
-// principalKey finds the principal in a context.
+// principalKey is the context key of the principal.
 type principalKey struct{}
 
 func principalOf(ctx context.Context) principal {
@@ -40,8 +40,8 @@
 	return p
 }
 
-// subjects says, per procedure, which organisation a message is about. A procedure that is missing here is refused,
-// so a new one can't be called before somebody has decided who may.
+// subjects returns, for each procedure, the organisation that a request concerns. A procedure without an entry is rejected,
+// so that a new one can't be called before its access rule is defined.
 var subjects = map[string]func(m any) (id.Organisation, bool){
 	rpcs.OperatorServicePutOrganisationProcedure: func(m any) (id.Organisation, bool) {
 		r, ok := m.(*pb.PutOrganisationRequest)
@@ -52,21 +52,21 @@
 		return id.Organisation(r.GetRollout().GetOrganisation()), ok
 	},
 	rpcs.OperatorServiceListOrganisationsProcedure: func(any) (id.Organisation, bool) { return "", true },
-	rpcs.OperatorServiceGetOrganisationProcedure:   ownField,
-	rpcs.OperatorServiceGetRolloutProcedure:        ownField,
-	rpcs.OperatorServiceListRolloutsProcedure:      ownField,
-	rpcs.OperatorServiceWatchRolloutProcedure:      ownField,
-	rpcs.OperatorServiceCancelRolloutProcedure:     ownField,
-	rpcs.OperatorServiceRollBackRolloutProcedure:   ownField,
-	rpcs.OperatorServiceListVMsProcedure:           ownField,
-	rpcs.OperatorServiceGetChangeProcedure:         ownField,
-	rpcs.OperatorServiceListEventsProcedure:        ownField,
+	rpcs.OperatorServiceGetOrganisationProcedure:   organisationField,
+	rpcs.OperatorServiceGetRolloutProcedure:        organisationField,
+	rpcs.OperatorServiceListRolloutsProcedure:      organisationField,
+	rpcs.OperatorServiceWatchRolloutProcedure:      organisationField,
+	rpcs.OperatorServiceCancelRolloutProcedure:     organisationField,
+	rpcs.OperatorServiceRollBackRolloutProcedure:   organisationField,
+	rpcs.OperatorServiceListVMsProcedure:           organisationField,
+	rpcs.OperatorServiceGetChangeProcedure:         organisationField,
+	rpcs.OperatorServiceListEventsProcedure:        organisationField,
 }
 
-// adminOnly lists the procedures of the fleet's administrator.
+// adminOnly lists the procedures that only an administrator of the fleet may call.
 var adminOnly = map[string]bool{rpcs.OperatorServicePutOrganisationProcedure: true}
 
-func ownField(m any) (id.Organisation, bool) {
+func organisationField(m any) (id.Organisation, bool) {
 	r, ok := m.(interface{ GetOrganisation() string })
 	if !ok {
 		return "", false
@@ -74,26 +74,27 @@
 	return id.Organisation(r.GetOrganisation()), true
 }
 
-// AuthInterceptor is the one place that decides who may call what.
+// AuthInterceptor authenticates and authorises all calls of operators.
 type AuthInterceptor struct {
-	admins [][]byte
-	state  func() *config.State
+	adminTokens [][]byte
+	state       func() *config.State
 }
 
-// NewAuthInterceptor makes it from the SHA-256 of the administrators' tokens and the configuration.
+// NewAuthInterceptor returns an interceptor that accepts the administrators' tokens, given as SHA-256 sums, and the operator
+// tokens of the current configuration.
 func NewAuthInterceptor(admins [][]byte, state func() *config.State) *AuthInterceptor {
-	return &AuthInterceptor{admins: admins, state: state}
+	return &AuthInterceptor{adminTokens: admins, state: state}
 }
 
-// identify finds whose token a call shows.
-func (a *AuthInterceptor) identify(authorization string) (principal, error) {
+// authenticate returns the principal of the token in an Authorization header.
+func (a *AuthInterceptor) authenticate(authorization string) (principal, error) {
 	token, ok := strings.CutPrefix(authorization, "Bearer ")
 	if !ok || token == "" {
 		return principal{}, ErrUnauthenticated
 	}
 	sum := sha256.Sum256([]byte(token))
 	same := func(h []byte) bool { return string(h) == string(sum[:]) }
-	if slices.ContainsFunc(a.admins, same) {
+	if slices.ContainsFunc(a.adminTokens, same) {
 		return principal{admin: true, name: "administrator"}, nil
 	}
 	for _, o := range a.state().Organisations() {
@@ -104,8 +105,9 @@
 	return principal{}, ErrUnauthenticated
 }
 
-// allow decides about one message of a procedure.
-func (a *AuthInterceptor) allow(p principal, procedure string, message any) error {
+// authorise checks that a principal may send this request to the procedure. Where it may not, the error is ErrNotFound, so that
+// the response doesn't reveal whether the object exists.
+func (a *AuthInterceptor) authorise(p principal, procedure string, message any) error {
 	subject := subjects[procedure]
 	if subject == nil {
 		return ErrNotFound
@@ -129,11 +131,11 @@
 // WrapUnary implements connect.Interceptor.
 func (a *AuthInterceptor) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, r connect.AnyRequest) (connect.AnyResponse, error) {
-		p, err := a.identify(r.Header().Get("Authorization"))
+		p, err := a.authenticate(r.Header().Get("Authorization"))
 		if err != nil {
 			return nil, asConnect(err)
 		}
-		if err := a.allow(p, r.Spec().Procedure, r.Any()); err != nil {
+		if err := a.authorise(p, r.Spec().Procedure, r.Any()); err != nil {
 			return nil, asConnect(err)
 		}
 		return next(context.WithValue(ctx, principalKey{}, p), r)
@@ -145,22 +147,22 @@
 	return next
 }
 
-// WrapStreamingHandler implements connect.Interceptor: each message that is received is decided about.
+// WrapStreamingHandler implements connect.Interceptor. Each message of the stream is authorised when it is received.
 func (a *AuthInterceptor) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return func(ctx context.Context, c connect.StreamingHandlerConn) error {
-		p, err := a.identify(c.RequestHeader().Get("Authorization"))
+		p, err := a.authenticate(c.RequestHeader().Get("Authorization"))
 		if err != nil {
 			return asConnect(err)
 		}
-		return next(context.WithValue(ctx, principalKey{}, p), &checkedConn{StreamingHandlerConn: c, authority: a, caller: p})
+		return next(context.WithValue(ctx, principalKey{}, p), &checkedConn{StreamingHandlerConn: c, interceptor: a, caller: p})
 	}
 }
 
-// checkedConn decides about each message of a stream.
+// checkedConn is a stream that authorises each received message.
 type checkedConn struct {
 	connect.StreamingHandlerConn
-	authority *AuthInterceptor
-	caller    principal
+	interceptor *AuthInterceptor
+	caller      principal
 }
 
 // Receive implements connect.StreamingHandlerConn.
@@ -168,7 +170,7 @@
 	if err := c.StreamingHandlerConn.Receive(m); err != nil {
 		return err
 	}
-	if err := c.authority.allow(c.caller, c.Spec().Procedure, m); err != nil {
+	if err := c.interceptor.authorise(c.caller, c.Spec().Procedure, m); err != nil {
 		return asConnect(err)
 	}
 	return nil
--- a/internal/operatorapi/authority_test.go
+++ b/internal/operatorapi/authority_test.go
@@ -18,10 +18,10 @@
 )
 
 func TestOperatorAPI(t *testing.T) {
-	spec.Run(t, "The operators' API")
+	spec.Run(t, "The operator API")
 }
 
-func stateOf(tokens map[string]string) *config.State {
+func stateWithTokens(tokens map[string]string) *config.State {
 	m := &pb.State{}
 	for o, t := range tokens {
 		sum := sha256.Sum256([]byte(t))
@@ -30,7 +30,7 @@
 	return config.FromSnapshot(m)
 }
 
-// messageAbout makes a procedure's request about an organisation, wherever its schema holds the organisation.
+// messageAbout returns a request of a procedure with every field that holds an organisation set to the given one.
 func messageAbout(m protoreflect.MethodDescriptor, organisation string) proto.Message {
 	d := dynamicpb.NewMessage(m.Input())
 	fill(d, organisation)
@@ -56,44 +56,44 @@
 	}
 }
 
-var _ = Describe("authority", func() {
+var _ = Describe("the auth interceptor", func() {
 	service := pb.File_springrail_v1_operator_proto.Services().ByName("OperatorService")
 	admin := sha256.Sum256([]byte("admin"))
-	authority := NewAuthInterceptor([][]byte{admin[:]}, func() *config.State {
-		return stateOf(map[string]string{"gym": "gym-token", "hut": "hut-token"})
+	interceptor := NewAuthInterceptor([][]byte{admin[:]}, func() *config.State {
+		return stateWithTokens(map[string]string{"gym": "gym-token", "hut": "hut-token"})
 	})
 
 	for i := range service.Methods().Len() {
 		m := service.Methods().Get(i)
 		procedure := "/" + string(service.FullName()) + "/" + string(m.Name())
 
-		It("keeps organisations apart in "+string(m.Name()), func() {
-			own, err := authority.identify("Bearer gym-token")
+		It("denies access to other organisations in "+string(m.Name()), func() {
+			operator, err := interceptor.authenticate("Bearer gym-token")
 			Expect(err).NotTo(HaveOccurred())
 			if procedure == rpcs.OperatorServiceListOrganisationsProcedure {
-				Expect(authority.allow(own, procedure, messageAbout(m, ""))).To(Succeed())
+				Expect(interceptor.authorise(operator, procedure, messageAbout(m, ""))).To(Succeed())
 				return
 			}
-			Expect(authority.allow(own, procedure, messageAbout(m, "hut"))).To(MatchError(ErrNotFound))
-			Expect(authority.allow(own, procedure, messageAbout(m, ""))).To(MatchError(ErrNotFound))
+			Expect(interceptor.authorise(operator, procedure, messageAbout(m, "hut"))).To(MatchError(ErrNotFound))
+			Expect(interceptor.authorise(operator, procedure, messageAbout(m, ""))).To(MatchError(ErrNotFound))
 			if adminOnly[procedure] {
-				Expect(authority.allow(own, procedure, messageAbout(m, "gym"))).To(MatchError(ErrNotFound))
+				Expect(interceptor.authorise(operator, procedure, messageAbout(m, "gym"))).To(MatchError(ErrNotFound))
 			} else {
-				Expect(authority.allow(own, procedure, messageAbout(m, "gym"))).To(Succeed())
+				Expect(interceptor.authorise(operator, procedure, messageAbout(m, "gym"))).To(Succeed())
 			}
-			root, err := authority.identify("Bearer admin")
+			administrator, err := interceptor.authenticate("Bearer admin")
 			Expect(err).NotTo(HaveOccurred())
-			Expect(authority.allow(root, procedure, messageAbout(m, "hut"))).To(Succeed())
+			Expect(interceptor.authorise(administrator, procedure, messageAbout(m, "hut"))).To(Succeed())
 		})
 	}
 
-	It("refuses a procedure that nobody has decided about", func() {
-		root, _ := authority.identify("Bearer admin")
-		Expect(authority.allow(root, "/springrail.v1.OperatorService/New", &pb.GetRolloutRequest{})).To(MatchError(ErrNotFound))
+	It("rejects a procedure without an access rule", func() {
+		administrator, _ := interceptor.authenticate("Bearer admin")
+		Expect(interceptor.authorise(administrator, "/springrail.v1.OperatorService/New", &pb.GetRolloutRequest{})).To(MatchError(ErrNotFound))
 	})
 
-	DescribeTable("refuses calls without a token that is in force", func(header string) {
-		_, err := authority.identify(header)
+	DescribeTable("rejects calls without a valid token", func(header string) {
+		_, err := interceptor.authenticate(header)
 		Expect(err).To(MatchError(ErrUnauthenticated))
 	},
 		Entry("none", ""), Entry("no scheme", "gym-token"), Entry("empty", "Bearer "),
--- a/internal/operatorapi/events.go
+++ b/internal/operatorapi/events.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// collectTimeout bounds the wait for one process's events.
+	// collectTimeout is the deadline for reading the events of one process.
 	collectTimeout = 2 * time.Second
-	// collectAtOnce bounds the processes asked at one time.
-	collectAtOnce = 32
+	// maxParallelCollects is the maximum number of processes that are read concurrently.
+	maxParallelCollects = 32
 )
 
-// ListEvents collects an organisation's events from all processes and merges them in causal order.
+// ListEvents reads an organisation's events from all processes in parallel and merges them in causal order.
 func (s *Service) ListEvents(ctx context.Context, r *pb.ListEventsRequest) (*pb.ListEventsResponse, error) {
 	q := &pb.EventsRequest{Organisation: r.GetOrganisation(), Rollout: r.GetRollout(), RequestId: r.GetRequestId()}
 	a := &pb.ListEventsResponse{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, collectAtOnce)
+	slots := make(chan struct{}, maxParallelCollects)
 	for _, v := range s.vms().GetVms() {
 		wg.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			ctx, stop := context.WithTimeout(ctx, collectTimeout)
 			defer stop()
-			got, err := s.process(v.GetAddress()).Events(ctx, q)
+			got, err := s.processClient(v.GetAddress()).Events(ctx, q)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -42,14 +42,14 @@
 	}
 	wg.Wait()
 	if len(s.vms().GetVms()) == 0 {
-		a.Events = s.own(q)
+		a.Events = s.localEvents(q)
 	}
 	slices.SortFunc(a.Events, compareEvents)
 	slices.Sort(a.Unreachable)
 	return a, nil
 }
 
-// compareEvents orders by hybrid logical time, then by process and its own numbering.
+// compareEvents orders events by hybrid logical time, then by process and sequence number.
 func compareEvents(x, y *pb.Event) int {
 	if d := x.GetAt().GetWallUnixMs() - y.GetAt().GetWallUnixMs(); d != 0 {
 		return int(d)
--- a/internal/operatorapi/part.go
+++ b/internal/operatorapi/part.go
@@ -1,4 +1,4 @@
-// Package operatorapi is what operators speak: the service of proto/springrail/v1/operator.proto.
+// Package operatorapi implements the API for operators: the service of proto/springrail/v1/operator.proto.
 package operatorapi
 
 import (
@@ -24,7 +24,7 @@
 	"github.com/springrail/springrail/internal/status"
 )
 
-// Settings is the section [operator].
+// Settings is the settings section [operator].
 type Settings struct {
 	Listen string `toml:"listen"`
 	Cert   string `toml:"cert"`
@@ -32,7 +32,7 @@
 	Plain  bool   `toml:"plain"`
 	// AdminTokenSHA256 holds the SHA-256, in hex, of the administrators' tokens.
 	AdminTokenSHA256 []string `toml:"admin_token_sha256"`
-	// ChangeTimeout bounds the wait for a change to be read back.
+	// ChangeTimeout is how long a call waits until its change is read back from the log.
 	ChangeTimeout time.Duration `toml:"change_timeout"`
 }
 
@@ -43,12 +43,12 @@
 	c.Require(s.Plain || s.Cert != "", "cert", "a file, as operators use TLS (or plain = true to go without)")
 	c.Require(s.Plain || s.Key != "", "key", "a file, as operators use TLS (or plain = true to go without)")
 	c.Require(!s.Plain || s.Cert+s.Key == "", "plain", "false where cert or key is set")
-	_, err = s.admins()
+	_, err = s.adminTokens()
 	c.Require(err == nil, "admin_token_sha256", "a list of SHA-256 sums, 64 hex digits each")
 	c.Require(s.ChangeTimeout > 0 && s.ChangeTimeout <= time.Minute, "change_timeout", "a time above 0 and up to 1m")
 }
 
-func (s *Settings) admins() ([][]byte, error) {
+func (s *Settings) adminTokens() ([][]byte, error) {
 	var l [][]byte
 	for _, t := range s.AdminTokenSHA256 {
 		b, err := hex.DecodeString(t)
@@ -70,7 +70,7 @@
 	})
 }
 
-// Part serves operators.
+// Part is the server of the operator API.
 type Part struct {
 	settings *Settings
 	listener net.Listener
@@ -100,23 +100,23 @@
 	f := h.Part(platform.PartName).(*platform.Client)
 	r := h.Part(rpc.PartName).(*rpc.Server)
 	v := &Service{
-		state: c.State, changed: c.Changed, submit: c.Submit, timeout: s.ChangeTimeout, events: h.Events, clock: h.Clock,
-		statuses: m.Table.Statuses, moved: m.Table.Changed, vms: m.List.Get, process: r.Process, now: time.Now,
-		open: h.Part(router.PartName).(*router.Router).IsOpen, ready: c.Ready,
-		own:      func(q *eventsRequest) []*event { return status.List(h, q) },
-		manifest: manifestReader(f),
+		state: c.State, configChanged: c.Changed, submit: c.Submit, changeTimeout: s.ChangeTimeout, events: h.Events, clock: h.Clock,
+		statuses: m.Table.Statuses, statusChanged: m.Table.Changed, vms: m.List.Get, processClient: r.Process, now: time.Now,
+		isOpen: h.Part(router.PartName).(*router.Router).IsOpen, ready: c.Ready,
+		localEvents:  func(q *eventsRequest) []*event { return status.List(h, q) },
+		readManifest: manifestReader(f),
 	}
 	return &Part{settings: s, listener: l, host: h, service: v, state: c.State}, nil
 }
 
-// Address is the address that the listener took.
+// Address returns the address of the listener.
 func (p *Part) Address() string {
 	return p.listener.Addr().String()
 }
 
 // Run serves until the context ends.
 func (p *Part) Run(ctx context.Context) error {
-	admins, err := p.settings.admins()
+	admins, err := p.settings.adminTokens()
 	if err != nil {
 		return trace.Wrap(err)
 	}
@@ -131,10 +131,10 @@
 	return rpc.Serve(ctx, server, p.listener, nil)
 }
 
-// maxMessage bounds a message in bytes.
+// maxMessage is the maximum size of a request in bytes.
 const maxMessage = 1 << 20
 
-// asConnect gives an error the code that clients decide by.
+// asConnect converts an error to a connect error with the code that clients handle it by.
 func asConnect(err error) error {
 	var already *connect.Error
 	switch {
--- a/internal/operatorapi/service.go
+++ b/internal/operatorapi/service.go
@@ -26,47 +26,47 @@
 	event         = pb.Event
 )
 
-// Service implements the operators' calls. AuthInterceptor has decided about each before it gets here.
+// Service implements the procedures of the operator API. AuthInterceptor has authorised each call before.
 type Service struct {
-	state    func() *config.State
-	changed  func() <-chan struct{}
-	ready    func() bool
-	submit   func(ctx context.Context, m *pb.Change) (*pb.ChangeOutcome, error)
-	timeout  time.Duration
-	events   *kernel.EventRing
-	clock    *kernel.Clock
-	statuses func() []*pb.VMStatus
-	moved    func() <-chan struct{}
-	vms      func() *pb.VMList
-	process  func(address string) rpcs.ProcessServiceClient
-	open     func(r id.Rollout, d id.Domain) bool
-	own      func(q *eventsRequest) []*event
-	manifest func(ctx context.Context, source string) ([]byte, error)
-	now      func() time.Time
+	state         func() *config.State
+	configChanged func() <-chan struct{}
+	ready         func() bool
+	submit        func(ctx context.Context, m *pb.Change) (*pb.ChangeOutcome, error)
+	changeTimeout time.Duration
+	events        *kernel.EventRing
+	clock         *kernel.Clock
+	statuses      func() []*pb.VMStatus
+	statusChanged func() <-chan struct{}
+	vms           func() *pb.VMList
+	processClient func(address string) rpcs.ProcessServiceClient
+	isOpen        func(r id.Rollout, d id.Domain) bool
+	localEvents   func(q *eventsRequest) []*event
+	readManifest  func(ctx context.Context, source string) ([]byte, error)
+	now           func() time.Time
 }
 
-// change appends a change and waits for its outcome.
-func (s *Service) change(ctx context.Context, c *pb.Change) error {
+// submitChange appends a change to the log and waits for its outcome.
+func (s *Service) submitChange(ctx context.Context, c *pb.Change) error {
 	if c.GetChangeId() == "" {
 		c.ChangeId = uuid.NewString()
 	}
 	c.Operator = principalOf(ctx).name
 	c.AtUnixMs = s.now().UnixMilli()
-	s.event(kernel.EventChangeRequested, c, "")
+	s.addEvent(kernel.EventChangeRequested, c, "")
 	at := s.clock.Now()
 	c.At = &pb.Timestamp{WallUnixMs: at.WallUnixMs, Logical: at.Logical}
-	ctx, stop := context.WithTimeout(ctx, s.timeout)
+	ctx, stop := context.WithTimeout(ctx, s.changeTimeout)
 	defer stop()
 	_, err := s.submit(ctx, c)
 	if err != nil {
-		s.event(kernel.EventChangeApplied, c, err.Error())
+		s.addEvent(kernel.EventChangeApplied, c, err.Error())
 		return asConnect(err)
 	}
-	s.event(kernel.EventChangeApplied, c, "accepted")
+	s.addEvent(kernel.EventChangeApplied, c, "accepted")
 	return nil
 }
 
-func (s *Service) event(k kernel.EventKind, c *pb.Change, detail string) {
+func (s *Service) addEvent(k kernel.EventKind, c *pb.Change, detail string) {
 	rollout := c.GetCreateRollout().GetRollout().GetId() + c.GetCancelRollout().GetRollout()
 	s.events.Add(kernel.Event{
 		Kind: k, Organisation: id.Organisation(c.GetOrganisation()), Rollout: id.Rollout(rollout),
@@ -80,7 +80,7 @@
 		return nil, connect.NewError(connect.CodeInvalidArgument, errors.New(why))
 	}
 	name := r.GetOrganisation().GetId()
-	err := s.change(ctx, &pb.Change{
+	err := s.submitChange(ctx, &pb.Change{
 		ChangeId: r.GetChangeId(), Organisation: name, BaseRevision: r.GetBaseRevision(),
 		Operation: &pb.Change_PutOrganisation{PutOrganisation: &pb.PutOrganisation{Organisation: r.GetOrganisation()}},
 	})
@@ -99,7 +99,7 @@
 	return &pb.GetOrganisationResponse{Organisation: o}, nil
 }
 
-// ListOrganisations returns those that the caller may see.
+// ListOrganisations returns the organisations that the caller has access to.
 func (s *Service) ListOrganisations(ctx context.Context, _ *pb.ListOrganisationsRequest) (*pb.ListOrganisationsResponse, error) {
 	p := principalOf(ctx)
 	a := &pb.ListOrganisationsResponse{}
@@ -111,8 +111,8 @@
 	return a, nil
 }
 
-// CreateRollout makes a version current for its model. Sizes that the operator leaves out are read from the manifest
-// at the origin, which has to match the pinned hash.
+// CreateRollout makes a version the current one of its model. If the request lacks the version's sizes, they are read from
+// the manifest at the origin, which must match the hash of the request if that has one.
 func (s *Service) CreateRollout(ctx context.Context, r *pb.CreateRolloutRequest) (*pb.CreateRolloutResponse, error) {
 	if r.GetRollout().GetVersion() == nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, errors.New("rollout.version is missing"))
@@ -128,8 +128,8 @@
 	return s.create(ctx, r.GetChangeId(), r.GetBaseRevision(), wanted)
 }
 
-// rolloutID is made from the change ID, so that a call that is made again names the same rollout, and from the
-// organisation, so that two that use the same change ID do not meet.
+// rolloutID derives the rollout ID from the change ID, so that a retried call creates the same rollout, and from the
+// organisation, so that equal change IDs of two organisations don't collide.
 func rolloutID(organisation, change string) string {
 	if change == "" {
 		change = uuid.NewString()
@@ -138,7 +138,7 @@
 }
 
 func (s *Service) create(ctx context.Context, change string, base uint64, r *pb.Rollout) (*pb.CreateRolloutResponse, error) {
-	err := s.change(ctx, &pb.Change{
+	err := s.submitChange(ctx, &pb.Change{
 		ChangeId: change, Organisation: r.GetOrganisation(), BaseRevision: base,
 		Operation: &pb.Change_CreateRollout{CreateRollout: &pb.CreateRollout{Rollout: r}},
 	})
@@ -152,7 +152,7 @@
 	if v.GetSource() == "" || v.GetTotalBytes() > 0 {
 		return nil
 	}
-	raw, err := s.manifest(ctx, v.GetSource())
+	raw, err := s.readManifest(ctx, v.GetSource())
 	if err != nil {
 		return connect.NewError(connect.CodeFailedPrecondition, fmt.Errorf("the origin gives no manifest at %s", v.GetSource()))
 	}
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// manifestReader reads manifests from the store or the origin.
+// manifestReader returns a function that reads a manifest from the origin, or from the store if the origin fails.
 func manifestReader(p *platform.Client) func(ctx context.Context, source string) ([]byte, error) {
 	const limit = 8 << 20
 	return func(ctx context.Context, source string) ([]byte, error) {
@@ -184,8 +184,8 @@
 	}
 }
 
-// find returns a rollout of an organisation.
-func (s *Service) find(organisation, name string) (*pb.Rollout, error) {
+// findRollout returns a rollout of an organisation, or a "not found" error.
+func (s *Service) findRollout(organisation, name string) (*pb.Rollout, error) {
 	r := s.state().Rollout(id.Rollout(name))
 	if r == nil || r.GetOrganisation() != organisation {
 		return nil, asConnect(ErrNotFound)
@@ -193,7 +193,7 @@
 	return r, nil
 }
 
-// progress sums a rollout's replicas over the fleet as this entry knows it.
+// progress returns the progress of a rollout in each failure domain, as far as this entry knows it.
 func (s *Service) progress(r *pb.Rollout) []*pb.DomainProgress {
 	var targets []*pb.VM
 	for _, v := range s.vms().GetVms() {
@@ -203,14 +203,14 @@
 	}
 	l := membership.Progress(r, targets, s.statuses())
 	for _, d := range l {
-		d.Open = s.open(id.Rollout(r.GetId()), id.Domain(d.GetDomain()))
+		d.Open = s.isOpen(id.Rollout(r.GetId()), id.Domain(d.GetDomain()))
 	}
 	return l
 }
 
 // GetRollout returns one rollout and its progress.
 func (s *Service) GetRollout(_ context.Context, r *pb.GetRolloutRequest) (*pb.GetRolloutResponse, error) {
-	m, err := s.find(r.GetOrganisation(), r.GetRollout())
+	m, err := s.findRollout(r.GetOrganisation(), r.GetRollout())
 	if err != nil {
 		return nil, err
 	}
@@ -228,15 +228,15 @@
 	return a, nil
 }
 
-// watchEvery bounds how often a watcher is told.
-const watchEvery = 200 * time.Millisecond
+// watchInterval is the minimum time between two messages to a watcher.
+const watchInterval = 200 * time.Millisecond
 
-// WatchRollout sends the rollout's state at each change.
+// WatchRollout streams the state of a rollout: now, and after each change of the configuration or of its progress.
 func (s *Service) WatchRollout(ctx context.Context, r *pb.WatchRolloutRequest, out *connect.ServerStream[pb.WatchRolloutResponse]) error {
 	var last *pb.WatchRolloutResponse
 	for ctx.Err() == nil {
-		changed, moved := s.changed(), s.moved()
-		m, err := s.find(r.GetOrganisation(), r.GetRollout())
+		configChanged, statusChanged := s.configChanged(), s.statusChanged()
+		m, err := s.findRollout(r.GetOrganisation(), r.GetRollout())
 		if err != nil {
 			return err
 		}
@@ -250,12 +250,12 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(watchEvery):
+		case <-time.After(watchInterval):
 		}
 		select {
 		case <-ctx.Done():
-		case <-changed:
-		case <-moved:
+		case <-configChanged:
+		case <-statusChanged:
 		case <-time.After(time.Second):
 		}
 	}
@@ -264,22 +264,22 @@
 
 // CancelRollout ends an active rollout.
 func (s *Service) CancelRollout(ctx context.Context, r *pb.CancelRolloutRequest) (*pb.CancelRolloutResponse, error) {
-	m, err := s.find(r.GetOrganisation(), r.GetRollout())
+	m, err := s.findRollout(r.GetOrganisation(), r.GetRollout())
 	if err != nil {
 		return nil, err
 	}
-	err = s.change(ctx, &pb.Change{
+	err = s.submitChange(ctx, &pb.Change{
 		ChangeId: r.GetChangeId(), Organisation: r.GetOrganisation(), BaseRevision: baseOf(r.GetBaseRevision(), m),
 		Operation: &pb.Change_CancelRollout{CancelRollout: &pb.CancelRollout{Rollout: r.GetRollout()}},
 	})
 	if err != nil {
 		return nil, err
 	}
-	m, err = s.find(r.GetOrganisation(), r.GetRollout())
+	m, err = s.findRollout(r.GetOrganisation(), r.GetRollout())
 	return &pb.CancelRolloutResponse{Rollout: m}, err
 }
 
-// baseOf is the operator's base revision, or where there is none, the one that this entry knows.
+// baseOf returns the base revision of the request, or if it has none, the revision that this entry knows.
 func baseOf(base uint64, r *pb.Rollout) uint64 {
 	if base == 0 {
 		return r.GetRevision()
@@ -287,17 +287,17 @@
 	return base
 }
 
-// RollBackRollout creates a rollout of the version that was current before the named one.
+// RollBackRollout creates a rollout of the version that was current before the given rollout.
 func (s *Service) RollBackRollout(ctx context.Context, r *pb.RollBackRolloutRequest) (*pb.RollBackRolloutResponse, error) {
-	m, err := s.find(r.GetOrganisation(), r.GetRollout())
+	m, err := s.findRollout(r.GetOrganisation(), r.GetRollout())
 	if err != nil {
 		return nil, err
 	}
-	before := s.state().Previous(m)
-	if before == nil {
+	previous := s.state().Previous(m)
+	if previous == nil {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, errors.New("no earlier version of the model is known"))
 	}
-	next := proto.CloneOf(before)
+	next := proto.CloneOf(previous)
 	next.Id, next.RolledBackFrom, next.NotBeforeUnixMs = rolloutID(m.GetOrganisation(), r.GetChangeId()), m.GetId(), 0
 	current := s.state().Current(id.Organisation(m.GetOrganisation()), id.Model(m.GetVersion().GetModel()))
 	a, err := s.create(ctx, r.GetChangeId(), baseOf(r.GetBaseRevision(), current), next)
@@ -307,7 +307,7 @@
 	return &pb.RollBackRolloutResponse{Rollout: a.GetRollout()}, nil
 }
 
-// ListVMs returns the VMs that have to do with an organisation, showing only what is the organisation's.
+// ListVMs returns the VMs that hold or serve an organisation's versions. The statuses omit those of other organisations.
 func (s *Service) ListVMs(_ context.Context, r *pb.ListVMsRequest) (*pb.ListVMsResponse, error) {
 	a := &pb.ListVMsResponse{}
 	for _, m := range s.statuses() {
@@ -332,7 +332,7 @@
 	return a, nil
 }
 
-// GetChange says what became of a change.
+// GetChange returns the outcome of a change.
 func (s *Service) GetChange(_ context.Context, r *pb.GetChangeRequest) (*pb.GetChangeResponse, error) {
 	o := s.state().Outcome(id.Organisation(r.GetOrganisation()), id.Change(r.GetChangeId()))
 	if o == nil {
