--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -17,19 +17,19 @@
 	RoleUpstream = "upstream"
 )
 
-// List is the platform's VM list as last read; it survives the platform's outages.
+// List caches the platform's VM list, so that it stays available while the platform is not.
 type List struct {
-	mu     sync.Mutex
-	list   *pb.VMList
-	change chan struct{}
+	mu      sync.Mutex
+	list    *pb.VMList
+	changed chan struct{}
 }
 
-// NewList makes an empty list.
+// NewList returns an empty list.
 func NewList() *List {
-	return &List{list: &pb.VMList{}, change: make(chan struct{})}
+	return &List{list: &pb.VMList{}, changed: make(chan struct{})}
 }
 
-// Set replaces the list if it is newer and says whether it was.
+// Set replaces the list if m has a higher version, and reports whether it did.
 func (l *List) Set(m *pb.VMList) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -37,26 +37,26 @@
 		return false
 	}
 	l.list = m
-	close(l.change)
-	l.change = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 	return true
 }
 
-// Get returns the list; do not change it.
+// Get returns the list. The caller must not modify it.
 func (l *List) Get() *pb.VMList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.list
 }
 
-// Changed returns a channel that closes at the next change.
+// Changed returns a channel that is closed when the list next changes.
 func (l *List) Changed() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.change
+	return l.changed
 }
 
-// Find returns a VM of the list or nil.
+// Find returns the VM of the given ID, or nil if it is not in the list.
 func (l *List) Find(v id.VM) *pb.VM {
 	for _, m := range l.Get().GetVms() {
 		if m.GetId() == string(v) {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// Entries returns the entries of a domain that are not leaving; an empty domain takes all.
+// Entries returns the entries of a failure domain, or of all domains if d is empty. Entries that are shutting down are omitted.
 func (l *List) Entries(d id.Domain) []*pb.VM {
 	var found []*pb.VM
 	for _, v := range l.Get().GetVms() {
@@ -77,8 +77,8 @@
 	return found
 }
 
-// Poll reads the platform's list until the context ends.
-func (l *List) Poll(ctx context.Context, every time.Duration, g *log.Logger,
+// Poll reads the platform's list at the given interval until the context ends.
+func (l *List) Poll(ctx context.Context, interval time.Duration, g *log.Logger,
 	read func(ctx context.Context) (*pb.VMList, error),
 ) {
 	failing := false
@@ -87,12 +87,12 @@
 		if err == nil {
 			l.Set(m)
 		} else if !failing {
-			g.Warn().Err(err).Msg("the VM list can't be read; going on with the last one")
+			g.Warn().Err(err).Msg("the VM list can't be read; keeping the last one")
 		}
 		failing = err != nil
 		select {
 		case <-ctx.Done():
-		case <-time.After(every):
+		case <-time.After(interval):
 		}
 	}
 }
--- a/internal/membership/part.go
+++ b/internal/membership/part.go
@@ -8,16 +8,16 @@
 	"github.com/springrail/springrail/internal/platform"
 )
 
-// PartName is what other parts name in their needs.
+// PartName is the name of this part in the Needs of other parts.
 const PartName = "membership"
 
-// Settings is the section [membership].
+// Settings is the settings section [membership].
 type Settings struct {
-	// ListInterval is how often the platform's VM list is read.
+	// ListInterval is the interval between reads of the platform's VM list.
 	ListInterval time.Duration `toml:"list_every"`
-	// GossipInterval is how often an entry asks another one of its failure domain for statuses.
+	// GossipInterval is the interval at which an entry requests statuses from another entry of its failure domain.
 	GossipInterval time.Duration `toml:"gossip_every"`
-	// RemoteGossipInterval is how often it asks one of another failure domain.
+	// RemoteGossipInterval is the interval at which an entry requests statuses from an entry of another failure domain.
 	RemoteGossipInterval time.Duration `toml:"far_every"`
 }
 
@@ -50,7 +50,7 @@
 	})
 }
 
-// Part is the membership of an entry.
+// Part is the membership of an entry: the cached VM list and the table of statuses.
 type Part struct {
 	Table    *Table
 	List     *List
@@ -59,7 +59,7 @@
 	platform *platform.Client
 }
 
-// Run reads the VM list until the context ends.
+// Run polls the VM list until the context ends.
 func (p *Part) Run(ctx context.Context) error {
 	p.List.Poll(ctx, p.Settings.ListInterval, p.host.Log, p.platform.ListVMs)
 	return nil
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -1,5 +1,6 @@
-// Package membership holds what an entry knows of VMs: the platform's list, which lags, and the statuses that agents
-// send to their home entry and that entries pass on to each other.
+// Package membership tracks the VMs of the fleet in an entry. Its sources are the platform's list, which lags, and the
+// statuses that agents send to their home entry in heartbeats and that entries spread by gossip. The entry that receives an
+// agent's heartbeats is the owner of that status.
 package membership
 
 import (
@@ -13,74 +14,74 @@
 )
 
 const (
-	// HeartbeatTimeout is how long a home entry waits for an agent's next heartbeat.
+	// HeartbeatTimeout is the time without a heartbeat after which the home entry of an agent marks its VM as gone.
 	HeartbeatTimeout = 5 * time.Second
-	// OwnerTimeout is how long an owner's statuses are believed without a sign of the owner.
+	// OwnerTimeout is the time without an update from an owner after which its statuses are ignored.
 	OwnerTimeout = 10 * time.Second
 )
 
-// owned is a status with the owner's number for it.
-type owned struct {
-	status *pb.VMStatus
-	update uint64
-	gone   bool
-	heard  time.Time
+// ownedStatus is a status with the update number that its owner gave it.
+type ownedStatus struct {
+	status     *pb.VMStatus
+	update     uint64
+	gone       bool
+	receivedAt time.Time
 }
 
-// owner is an entry and the statuses that it heard itself.
+// owner is an entry with the statuses that it received in heartbeats. The number update rises with each change and each tick.
 type owner struct {
 	domain      id.Domain
 	incarnation uint64
 	update      uint64
-	heard       time.Time
-	vms         map[id.VM]*owned
+	updatedAt   time.Time
+	statuses    map[id.VM]*ownedStatus
 }
 
-// Table merges the statuses of all owners. The newest status of a VM counts.
+// Table merges the statuses of all owners. For each VM the newest status applies.
 type Table struct {
-	self   id.VM
-	now    func() time.Time
-	mu     sync.Mutex
-	owners map[id.VM]*owner
-	change chan struct{}
+	self    id.VM
+	now     func() time.Time
+	mu      sync.Mutex
+	owners  map[id.VM]*owner
+	changed chan struct{}
 }
 
-// NewTable makes the table of an entry.
+// NewTable returns the table of the entry self in the failure domain d.
 func NewTable(self id.VM, d id.Domain, now func() time.Time) *Table {
-	t := &Table{self: self, now: now, owners: map[id.VM]*owner{}, change: make(chan struct{})}
-	t.owners[self] = &owner{domain: d, incarnation: uint64(now().UnixNano()), heard: now(), vms: map[id.VM]*owned{}}
+	t := &Table{self: self, now: now, owners: map[id.VM]*owner{}, changed: make(chan struct{})}
+	t.owners[self] = &owner{domain: d, incarnation: uint64(now().UnixNano()), updatedAt: now(), statuses: map[id.VM]*ownedStatus{}}
 	return t
 }
 
-// Changed returns a channel that closes when a status changes.
+// Changed returns a channel that is closed when a status next changes.
 func (t *Table) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.change
+	return t.changed
 }
 
 func (t *Table) notify() {
-	close(t.change)
-	t.change = make(chan struct{})
+	close(t.changed)
+	t.changed = make(chan struct{})
 }
 
-// RecordHeartbeat notes a status that an agent sent to this entry.
+// RecordHeartbeat stores a status that an agent sent to this entry.
 func (t *Table) RecordHeartbeat(s *pb.VMStatus) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o := t.owners[t.self]
 	v := id.VM(s.GetVm().GetId())
-	have := o.vms[v]
-	if have != nil && !have.gone && !newer(s, have.status) {
-		have.heard = t.now()
+	known := o.statuses[v]
+	if known != nil && !known.gone && !newer(s, known.status) {
+		known.receivedAt = t.now()
 		return
 	}
 	o.update++
-	o.vms[v] = &owned{status: s, update: o.update, heard: t.now()}
+	o.statuses[v] = &ownedStatus{status: s, update: o.update, receivedAt: t.now()}
 	t.notify()
 }
 
-// newer says whether a follows b from the same VM.
+// newer reports whether a is newer than b, of the same VM: a later incarnation, or a higher sequence number in the same one.
 func newer(a, b *pb.VMStatus) bool {
 	if a.GetIncarnation() != b.GetIncarnation() {
 		return a.GetIncarnation() > b.GetIncarnation()
@@ -88,15 +89,16 @@
 	return a.GetSequence() > b.GetSequence()
 }
 
-// Tick marks agents that have fallen silent and shows that this entry lives.
+// Tick marks the VMs whose heartbeats have timed out as gone, and raises this entry's update number, by which other entries
+// see that it is alive.
 func (t *Table) Tick() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o := t.owners[t.self]
 	o.update++
-	o.heard = t.now()
-	for _, h := range o.vms {
-		if !h.gone && t.now().Sub(h.heard) > HeartbeatTimeout {
+	o.updatedAt = t.now()
+	for _, h := range o.statuses {
+		if !h.gone && t.now().Sub(h.receivedAt) > HeartbeatTimeout {
 			o.update++
 			h.gone, h.update = true, o.update
 			t.notify()
@@ -104,7 +106,7 @@
 	}
 }
 
-// Versions says what the table has; a domain keeps the owners of one domain, empty keeps all.
+// Versions returns the update number of each owner in a failure domain, or of all owners if d is empty.
 func (t *Table) Versions(d id.Domain) []*pb.OwnerVersion {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -117,30 +119,31 @@
 	return l
 }
 
-// UpdatesSince returns what the table has beyond the versions.
+// UpdatesSince returns the statuses that are newer than the given versions, of the owners in a failure domain, or of all
+// owners if d is empty.
 func (t *Table) UpdatesSince(versions []*pb.OwnerVersion, d id.Domain) []*pb.OwnerUpdate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	have := map[id.VM]*pb.OwnerVersion{}
+	knownVersions := map[id.VM]*pb.OwnerVersion{}
 	for _, v := range versions {
-		have[id.VM(v.GetOwner())] = v
+		knownVersions[id.VM(v.GetOwner())] = v
 	}
 	var l []*pb.OwnerUpdate
 	for name, o := range t.owners {
 		if d != "" && o.domain != d {
 			continue
 		}
-		known := have[name]
+		known := knownVersions[name]
 		if known.GetIncarnation() > o.incarnation ||
 			known.GetIncarnation() == o.incarnation && known.GetUpdate() >= o.update {
 			continue
 		}
-		l = append(l, o.since(name, known))
+		l = append(l, o.updatesSince(name, known))
 	}
 	return l
 }
 
-func (o *owner) since(name id.VM, known *pb.OwnerVersion) *pb.OwnerUpdate {
+func (o *owner) updatesSince(name id.VM, known *pb.OwnerVersion) *pb.OwnerUpdate {
 	after := known.GetUpdate()
 	if known.GetIncarnation() != o.incarnation {
 		after = 0
@@ -149,7 +152,7 @@
 		Version: &pb.OwnerVersion{Owner: string(name), Incarnation: o.incarnation, Update: o.update},
 		Domain:  string(o.domain),
 	}
-	for _, h := range o.vms {
+	for _, h := range o.statuses {
 		if h.update > after {
 			u.Statuses = append(u.Statuses, &pb.OwnedStatus{Status: h.status, Update: h.update, Gone: h.gone})
 		}
@@ -157,7 +160,7 @@
 	return u
 }
 
-// Merge takes what another entry returned from UpdatesSince.
+// Merge adds the updates that another entry returned from UpdatesSince.
 func (t *Table) Merge(updates []*pb.OwnerUpdate) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -172,17 +175,17 @@
 	v := u.GetVersion()
 	o := t.owners[id.VM(v.GetOwner())]
 	if o == nil || v.GetIncarnation() > o.incarnation {
-		o = &owner{domain: id.Domain(u.GetDomain()), incarnation: v.GetIncarnation(), vms: map[id.VM]*owned{}}
+		o = &owner{domain: id.Domain(u.GetDomain()), incarnation: v.GetIncarnation(), statuses: map[id.VM]*ownedStatus{}}
 		t.owners[id.VM(v.GetOwner())] = o
 	}
 	if v.GetIncarnation() < o.incarnation || v.GetUpdate() <= o.update {
 		return
 	}
-	o.update, o.heard = v.GetUpdate(), t.now()
+	o.update, o.updatedAt = v.GetUpdate(), t.now()
 	for _, s := range u.GetStatuses() {
 		name := id.VM(s.GetStatus().GetVm().GetId())
-		if have := o.vms[name]; have == nil || have.update < s.GetUpdate() {
-			o.vms[name] = &owned{status: s.GetStatus(), update: s.GetUpdate(), gone: s.GetGone()}
+		if known := o.statuses[name]; known == nil || known.update < s.GetUpdate() {
+			o.statuses[name] = &ownedStatus{status: s.GetStatus(), update: s.GetUpdate(), gone: s.GetGone()}
 		}
 	}
 	if len(u.GetStatuses()) > 0 {
@@ -190,42 +193,43 @@
 	}
 }
 
-// RemoveSilentOwners drops owners that have been silent for much longer than they are believed.
-func (t *Table) RemoveSilentOwners(after time.Duration) {
+// RemoveSilentOwners removes the owners without an update for the given time, which should be much longer than OwnerTimeout.
+func (t *Table) RemoveSilentOwners(maxSilence time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, o := range t.owners {
-		if name != t.self && t.now().Sub(o.heard) > after {
+		if name != t.self && t.now().Sub(o.updatedAt) > maxSilence {
 			delete(t.owners, name)
 		}
 	}
 }
 
-// Alive says whether an owner has shown itself lately.
+// Alive reports whether an owner has sent an update within OwnerTimeout.
 func (t *Table) Alive(v id.VM) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	o := t.owners[v]
-	return o != nil && t.now().Sub(o.heard) < OwnerTimeout
+	return o != nil && t.now().Sub(o.updatedAt) < OwnerTimeout
 }
 
-// Statuses returns the newest status of each VM that an owner believed alive vouches for, by name.
+// Statuses returns the newest status of each VM, sorted by VM. It omits VMs that are gone, and statuses whose owner has not
+// sent an update within OwnerTimeout.
 func (t *Table) Statuses() []*pb.VMStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	best := map[id.VM]*owned{}
+	newest := map[id.VM]*ownedStatus{}
 	for _, o := range t.owners {
-		if t.now().Sub(o.heard) > OwnerTimeout {
+		if t.now().Sub(o.updatedAt) > OwnerTimeout {
 			continue
 		}
-		for name, h := range o.vms {
-			if b := best[name]; b == nil || newer(h.status, b.status) || (b.gone && !newer(b.status, h.status)) {
-				best[name] = h
+		for name, h := range o.statuses {
+			if b := newest[name]; b == nil || newer(h.status, b.status) || (b.gone && !newer(b.status, h.status)) {
+				newest[name] = h
 			}
 		}
 	}
 	var l []*pb.VMStatus
-	for _, h := range best {
+	for _, h := range newest {
 		if !h.gone {
 			l = append(l, h.status)
 		}
@@ -234,23 +238,23 @@
 	return l
 }
 
-// Progress sums the replicas of a rollout by failure domain, in the order of the domains' names. Targets counts the
-// VMs of the list that should hold it.
+// Progress sums up the replicas of a rollout in each failure domain, sorted by domain. The targets are the VMs that should
+// hold the rollout's version.
 func Progress(r *pb.Rollout, targets []*pb.VM, statuses []*pb.VMStatus) []*pb.DomainProgress {
 	byDomain := map[string]*pb.DomainProgress{}
-	at := func(d string) *pb.DomainProgress {
+	domainProgress := func(d string) *pb.DomainProgress {
 		if byDomain[d] == nil {
 			byDomain[d] = &pb.DomainProgress{Rollout: r.GetId(), Domain: d}
 		}
 		return byDomain[d]
 	}
 	for _, v := range targets {
-		at(v.GetDomain()).Targets++
+		domainProgress(v.GetDomain()).Targets++
 	}
 	for _, s := range statuses {
 		for _, p := range s.GetReplicas() {
 			if p.GetRollout() == r.GetId() {
-				count(at(s.GetVm().GetDomain()), s, p)
+				addReplica(domainProgress(s.GetVm().GetDomain()), s, p)
 			}
 		}
 	}
@@ -262,7 +266,7 @@
 	return l
 }
 
-func count(d *pb.DomainProgress, s *pb.VMStatus, p *pb.ReplicaProgress) {
+func addReplica(d *pb.DomainProgress, s *pb.VMStatus, p *pb.ReplicaProgress) {
 	switch p.GetState() {
 	case pb.ReplicaState_REPLICA_STATE_COMPLETE:
 		d.Complete++
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -23,7 +23,7 @@
 }
 
 var _ = Describe("statuses", func() {
-	It("come to the newest everywhere, whatever the order and the homes", func() {
+	It("converge to the newest in all tables, in any order of messages and with changing home entries", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			now := time.Unix(1000, 0)
 			clock := func() time.Time { return now }
@@ -67,7 +67,7 @@
 		})
 	})
 
-	It("end with the agent's silence, go on at its new home, and end with a silent owner", func() {
+	It("are dropped when heartbeats time out, reappear at a new home entry, and are dropped when the owner times out", func() {
 		now := time.Unix(1000, 0)
 		clock := func() time.Time { return now }
 		a, b := NewTable("a", "d", clock), NewTable("b", "d", clock)
