--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -17,24 +17,24 @@
 const (
 	dialTimeout   = 2 * time.Second
 	headerTimeout = 10 * time.Second
-	pingAfter     = 5 * time.Second
+	pingAfterIdle = 5 * time.Second
 	pingTimeout   = 3 * time.Second
 	maxStreams    = 4096
 	idleTimeout   = 60 * time.Second
-	// bulkIdle bounds idle chunk connections to one peer.
-	bulkIdle = 4
+	// maxIdleConns is the maximum number of idle connections of a client to one peer.
+	maxIdleConns = 4
 )
 
-// makeClients makes the client side: HTTP/2 for messages, HTTP/1.1 for chunks so that each has a connection of its own.
-// Records have connections of their own, so that they are counted apart.
+// makeClients creates the HTTP clients: HTTP/2 for messages and records, HTTP/1.1 for chunks, so that each chunk transfer has
+// its own connection. Records don't share connections with other messages, so that their traffic is counted separately.
 func (s *Server) makeClients() {
-	s.client = s.newClient(traffic.Messages, true)
-	s.records = s.newClient(traffic.Records, true)
-	s.bulk = s.newClient(traffic.Chunks, false)
+	s.messageClient = s.newClient(traffic.Messages, true)
+	s.recordClient = s.newClient(traffic.Records, true)
+	s.chunkClient = s.newClient(traffic.Chunks, false)
 }
 
-// dialCounted opens a connection for a kind of traffic.
-func (s *Server) dialCounted(k traffic.Kind) traffic.Dialer {
+// countingDialer returns a dialer whose connections are counted as the given kind of traffic.
+func (s *Server) countingDialer(k traffic.Kind) traffic.Dialer {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		n, err := s.dial(ctx, network, address)
 		if c := s.counter.Load(); c != nil && err == nil {
@@ -46,25 +46,25 @@
 
 func (s *Server) newClient(k traffic.Kind, http2 bool) *http.Client {
 	t := &http.Transport{
-		DialContext:         s.dialCounted(k),
+		DialContext:         s.countingDialer(k),
 		Protocols:           &http.Protocols{},
 		IdleConnTimeout:     idleTimeout,
-		MaxIdleConnsPerHost: bulkIdle,
-		HTTP2:               &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
+		MaxIdleConnsPerHost: maxIdleConns,
+		HTTP2:               &http.HTTP2Config{SendPingTimeout: pingAfterIdle, PingTimeout: pingTimeout},
 		DisableCompression:  true,
 		ReadBufferSize:      64 << 10,
 		WriteBufferSize:     64 << 10,
 	}
 	t.Protocols.SetHTTP1(!http2)
-	t.Protocols.SetHTTP2(http2 && s.keys != nil)
-	t.Protocols.SetUnencryptedHTTP2(http2 && s.keys == nil)
-	if s.keys != nil {
-		t.TLSClientConfig = s.keys.client()
+	t.Protocols.SetHTTP2(http2 && s.certs != nil)
+	t.Protocols.SetUnencryptedHTTP2(http2 && s.certs == nil)
+	if s.certs != nil {
+		t.TLSClientConfig = s.certs.clientConfig()
 	}
 	return &http.Client{Transport: stampingTransport{next: t, clock: s.clock}}
 }
 
-// stampingTransport puts the process's time on requests and merges that of answers.
+// stampingTransport sends the hybrid logical time with each request and advances the clock past that of the response.
 type stampingTransport struct {
 	next  http.RoundTripper
 	clock *kernel.Clock
@@ -84,21 +84,21 @@
 	return a, nil
 }
 
-// URL returns the base URL of a process's internal listener.
+// URL returns the base URL of the internal listener at an address: https, or http if the settings disable TLS.
 func (s *Server) URL(address string) string {
-	if s.keys != nil {
+	if s.certs != nil {
 		return "https://" + address
 	}
 	return "http://" + address
 }
 
-// ChunkClient is the client for chunks.
+// ChunkClient returns the HTTP client for chunk transfers.
 func (s *Server) ChunkClient() *http.Client {
-	return s.bulk
+	return s.chunkClient
 }
 
-// peer is what one address is talked to with.
-type peer struct {
+// peerClients holds the service clients of one peer.
+type peerClients struct {
 	config   springrailv1connect.ConfigServiceClient
 	upstream springrailv1connect.UpstreamServiceClient
 	swarm    springrailv1connect.SwarmServiceClient
@@ -106,59 +106,59 @@
 	records  springrailv1connect.RecordServiceClient
 }
 
-// maxPeers bounds the clients that are kept; beyond it all are made anew.
+// maxPeers is the maximum number of cached peers. When it is reached, the whole cache is cleared.
 const maxPeers = 8192
 
-// peer returns the clients of an address. Messages are small, so they go uncompressed: compressing them cost an
-// eighth of an agent's processor time.
-func (s *Server) peer(address string) *peer {
+// clientsOf returns the cached service clients of an address. Compression is disabled, as messages are small and compressing
+// them took an eighth of an agent's processor time.
+func (s *Server) clientsOf(address string) *peerClients {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if p := s.peers[address]; p != nil {
 		return p
 	}
 	if s.peers == nil || len(s.peers) >= maxPeers {
-		s.peers = map[string]*peer{}
+		s.peers = map[string]*peerClients{}
 	}
 	plain := connect.WithAcceptCompression("gzip", nil, nil)
 	url := s.URL(address)
-	p := &peer{
-		config:   springrailv1connect.NewConfigServiceClient(s.client, url, plain),
-		upstream: springrailv1connect.NewUpstreamServiceClient(s.client, url, plain),
-		swarm:    springrailv1connect.NewSwarmServiceClient(s.client, url, plain),
-		process:  springrailv1connect.NewProcessServiceClient(s.client, url, plain),
-		records:  springrailv1connect.NewRecordServiceClient(s.records, url, plain),
+	p := &peerClients{
+		config:   springrailv1connect.NewConfigServiceClient(s.messageClient, url, plain),
+		upstream: springrailv1connect.NewUpstreamServiceClient(s.messageClient, url, plain),
+		swarm:    springrailv1connect.NewSwarmServiceClient(s.messageClient, url, plain),
+		process:  springrailv1connect.NewProcessServiceClient(s.messageClient, url, plain),
+		records:  springrailv1connect.NewRecordServiceClient(s.recordClient, url, plain),
 	}
 	s.peers[address] = p
 	return p
 }
 
-// Config returns a client of an entry's configuration service.
+// Config returns a client for the configuration service of an entry.
 func (s *Server) Config(address string) springrailv1connect.ConfigServiceClient {
-	return s.peer(address).config
+	return s.clientsOf(address).config
 }
 
-// Upstream returns a client of an agent's upstream service.
+// Upstream returns a client for the upstream service of an agent.
 func (s *Server) Upstream(address string) springrailv1connect.UpstreamServiceClient {
-	return s.peer(address).upstream
+	return s.clientsOf(address).upstream
 }
 
-// Swarm returns a client of an agent's swarm service.
+// Swarm returns a client for the swarm service of an agent.
 func (s *Server) Swarm(address string) springrailv1connect.SwarmServiceClient {
-	return s.peer(address).swarm
+	return s.clientsOf(address).swarm
 }
 
-// Process returns a client of any process's service about itself.
+// Process returns a client for the service with which a process reports its own events.
 func (s *Server) Process(address string) springrailv1connect.ProcessServiceClient {
-	return s.peer(address).process
+	return s.clientsOf(address).process
 }
 
-// Records returns a client of a process's service that hands the platform's records on.
+// Records returns a client for the service with which a process relays records of the platform's store.
 func (s *Server) Records(address string) springrailv1connect.RecordServiceClient {
-	return s.peer(address).records
+	return s.clientsOf(address).records
 }
 
-// IsDialError says that an error is from making the connection, so that no byte of a request was sent.
+// IsDialError reports whether an error comes from opening the connection, so that no byte of a request was sent.
 func IsDialError(err error) bool {
 	var o *net.OpError
 	return errors.As(err, &o) && o.Op == "dial"
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -16,10 +16,10 @@
 	"github.com/springrail/springrail/internal/traffic"
 )
 
-// PartName is what other parts name in their needs.
+// PartName is the name of this part in the Needs of other parts.
 const PartName = "internal server"
 
-// Settings is the section [internal].
+// Settings is the settings section [internal].
 type Settings struct {
 	Listen string `toml:"listen"`
 	Cert   string `toml:"cert"`
@@ -50,23 +50,23 @@
 	})
 }
 
-// Server is the listener for messages between processes; parts add their handlers while they are made.
+// Server is the server and the client for messages between processes. Parts register their handlers when they are created.
 type Server struct {
 	listener net.Listener
-	keys     *keys
+	certs    *certStore
 	clock    *kernel.Clock
 	mux      *http.ServeMux
 	dial     traffic.Dialer
-	// counter counts what goes over the connections that this process opens; nil counts nothing.
+	// counter counts the traffic on connections that this process opens. If it is nil, nothing is counted.
 	counter atomic.Pointer[traffic.Counter]
-	// client is for messages, records for the platform's records, and bulk for chunks.
-	client, records, bulk *http.Client
+	// messageClient carries messages, recordClient the records of the platform's store, and chunkClient chunks.
+	messageClient, recordClient, chunkClient *http.Client
 
 	mu    sync.Mutex
-	peers map[string]*peer
+	peers map[string]*peerClients
 }
 
-// New opens the listener. Connections are taken once Run runs.
+// New opens the listener. Run accepts connections on it.
 func New(s *Settings, c *kernel.Clock) (*Server, error) {
 	l, err := net.Listen("tcp", s.Listen)
 	if err != nil {
@@ -74,7 +74,7 @@
 	}
 	r := &Server{listener: l, clock: c, mux: http.NewServeMux(), dial: dial.New(dialTimeout).DialContext}
 	if !s.Plain {
-		if r.keys, err = newKeys(s.Cert, s.Key, s.CA); err != nil {
+		if r.certs, err = newCertStore(s.Cert, s.Key, s.CA); err != nil {
 			l.Close()
 			return nil, err
 		}
@@ -83,7 +83,7 @@
 	return r, nil
 }
 
-// NewWithDialer makes a plain server over a listener and a dialer of the caller's, for experiments with shaped links.
+// NewWithDialer returns a server without TLS on the given listener and dialer, which lets experiments shape the network links.
 func NewWithDialer(l net.Listener, dial func(ctx context.Context, network, address string) (net.Conn, error),
 	c *kernel.Clock,
 ) *Server {
@@ -92,40 +92,41 @@
 	return r
 }
 
-// CountTraffic has what is sent to other processes counted from now on.
+// CountTraffic sets the counter for the connections that are opened from now on.
 func (s *Server) CountTraffic(c *traffic.Counter) {
 	s.counter.Store(c)
 }
 
-// Handle adds a handler; all messages to it carry the sender's time.
+// Handle registers an HTTP handler. The server exchanges hybrid logical times with its clients.
 func (s *Server) Handle(path string, h http.Handler) {
-	s.mux.Handle(path, s.stamp(h))
+	s.mux.Handle(path, s.exchangeTime(h))
 }
 
-// Address is the address that the listener took.
+// Address returns the address of the listener.
 func (s *Server) Address() string {
 	return s.listener.Addr().String()
 }
 
 // Run serves until the context ends.
 func (s *Server) Run(ctx context.Context) error {
-	server := &http.Server{Handler: s.mux, ReadHeaderTimeout: headerTimeout, Protocols: protocols(s.keys == nil)}
+	server := &http.Server{Handler: s.mux, ReadHeaderTimeout: headerTimeout, Protocols: protocols(s.certs == nil)}
 	server.HTTP2 = &http.HTTP2Config{MaxConcurrentStreams: maxStreams}
-	return Serve(ctx, server, s.listener, s.keys)
+	return Serve(ctx, server, s.listener, s.certs)
 }
 
-// lastWrites is how long a server that stops goes on writing what its handlers have handed over. HTTP/2 buffers it, so
-// that a connection that is closed at once loses the ends of answers; long polls end with it.
-const lastWrites = 250 * time.Millisecond
+// flushTimeout is how long a stopping server writes the responses that its handlers have finished. HTTP/2 buffers them, so
+// that closing a connection immediately would cut off their ends. Long polls are ended after this time.
+const flushTimeout = 250 * time.Millisecond
 
-// Serve runs an HTTP server until the context ends, lets out what handlers have written, and closes what is left.
-func Serve(ctx context.Context, server *http.Server, l net.Listener, k *keys) error {
+// Serve runs an HTTP server until the context ends, with TLS if k is not nil. It then flushes finished responses for up to
+// flushTimeout and closes the remaining connections.
+func Serve(ctx context.Context, server *http.Server, l net.Listener, k *certStore) error {
 	closed := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		defer close(closed)
-		last, end := context.WithTimeout(context.WithoutCancel(ctx), lastWrites)
-		defer end()
-		if server.Shutdown(last) != nil {
+		flushContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), flushTimeout)
+		defer cancel()
+		if server.Shutdown(flushContext) != nil {
 			server.Close()
 		}
 	})
@@ -136,7 +137,7 @@
 	}()
 	var err error
 	if k != nil {
-		server.TLSConfig = k.server()
+		server.TLSConfig = k.serverConfig()
 		err = server.ServeTLS(l, "", "")
 	} else {
 		err = server.Serve(l)
@@ -147,8 +148,8 @@
 	return trace.Wrap(err)
 }
 
-// stamp merges the sender's time into the clock and answers with the process's own.
-func (s *Server) stamp(h http.Handler) http.Handler {
+// exchangeTime wraps a handler: it advances the clock past the sender's time and adds the process's time to the response.
+func (s *Server) exchangeTime(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if t, err := kernel.ParseTime(r.Header.Get(kernel.TimeHeader)); err == nil {
 			s.clock.Observe(t)
--- a/internal/rpc/stop_test.go
+++ b/internal/rpc/stop_test.go
@@ -15,34 +15,34 @@
 	"github.com/springrail/springrail/internal/kernel"
 )
 
-var _ = Describe("a planned stop", func() {
-	It("lets out what a handler has written, to its last byte", func() {
+var _ = Describe("a graceful shutdown", func() {
+	It("sends a response that a handler has written to its last byte", func() {
 		var lost atomic.Int32
 		var wait sync.WaitGroup
 		for range 16 {
 			wait.Go(func() {
 				defer GinkgoRecover()
 				for range 20 {
-					if stoppedAnswer() != "partpartpartend" {
+					if responseAtShutdown() != "partpartpartend" {
 						lost.Add(1)
 					}
 				}
 			})
 		}
 		wait.Wait()
-		Expect(lost.Load()).To(BeZero(), "answers that lost their end")
+		Expect(lost.Load()).To(BeZero(), "truncated responses")
 	})
 })
 
-// stoppedAnswer is what a caller gets of a server that stops as soon as its handler has returned.
-func stoppedAnswer() string {
+// responseAtShutdown returns the response that a client receives from a server that stops as soon as its handler returns.
+func responseAtShutdown() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	s := NewWithDialer(l, (&net.Dialer{}).DialContext, kernel.NewClock(time.Now))
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	s.Handle("/answer", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		// The drain of a process ends with the last handler, and the stop follows at once.
+		// A process finishes draining with its last handler and stops the server immediately afterwards.
 		defer stop()
 		for range 3 {
 			_, _ = io.WriteString(w, "part")
@@ -55,7 +55,7 @@
 		defer close(ended)
 		_ = s.Run(ctx)
 	}()
-	a, err := s.client.Get(s.URL(s.Address()) + "/answer")
+	a, err := s.messageClient.Get(s.URL(s.Address()) + "/answer")
 	if err != nil {
 		return err.Error()
 	}
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err.Error()
 	}
-	s.client.CloseIdleConnections()
+	s.messageClient.CloseIdleConnections()
 	Eventually(ended).WithTimeout(2 * time.Second).Should(BeClosed())
 	return string(b)
 }
--- a/internal/rpc/tls.go
+++ b/internal/rpc/tls.go
@@ -1,5 +1,5 @@
-// Package rpc is the listener for messages between processes and the client side of it: TLS with the fleet's keys,
-// HTTP/2, and the hybrid logical time on every message.
+// Package rpc implements the transport for messages between processes, server and client: HTTP/2 with mutual TLS and a
+// hybrid logical timestamp on every message.
 package rpc
 
 import (
@@ -13,59 +13,59 @@
 	"github.com/gravitational/trace"
 )
 
-// ErrTLSFiles says that the fleet's key files can't be used.
-var ErrTLSFiles = errors.New("key files can't be used")
+// ErrTLSFiles is returned if the certificate, key or CA file can't be loaded.
+var ErrTLSFiles = errors.New("the TLS files can't be loaded")
 
-// keyRecheck is how long loaded keys are used before the files are looked at again.
-const keyRecheck = 2 * time.Second
+// fileCheckInterval is the minimum time between two checks whether the TLS files have changed.
+const fileCheckInterval = 2 * time.Second
 
-// keys are the fleet's certificate, key and authority, read again when their files change.
-type keys struct {
+// certStore holds the process's certificate with its key, and the CA of the fleet. It reloads them when the files change.
+type certStore struct {
 	certFile, keyFile, caFile string
 	mu                        sync.Mutex
-	checked                   time.Time
-	modified                  time.Time
+	checkedAt                 time.Time
+	modifiedAt                time.Time
 	cert                      *tls.Certificate
 	pool                      *x509.CertPool
 }
 
-func newKeys(certFile, keyFile, caFile string) (*keys, error) {
-	k := &keys{certFile: certFile, keyFile: keyFile, caFile: caFile}
-	return k, k.read()
+func newCertStore(certFile, keyFile, caFile string) (*certStore, error) {
+	k := &certStore{certFile: certFile, keyFile: keyFile, caFile: caFile}
+	return k, k.load()
 }
 
-// read loads the files; on an error the keys in use stay.
-func (k *keys) read() error {
+// load reads the files. On an error the certificates that are in use remain.
+func (k *certStore) load() error {
 	cert, err := tls.LoadX509KeyPair(k.certFile, k.keyFile)
 	if err != nil {
 		return trace.Wrap(errors.Join(ErrTLSFiles, err), "certificate %s with key %s", k.certFile, k.keyFile)
 	}
 	pem, err := os.ReadFile(k.caFile)
 	if err != nil {
-		return trace.Wrap(errors.Join(ErrTLSFiles, err), "authority %s", k.caFile)
+		return trace.Wrap(errors.Join(ErrTLSFiles, err), "CA file %s", k.caFile)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return trace.Wrap(ErrTLSFiles, "authority %s holds no certificate", k.caFile)
+		return trace.Wrap(ErrTLSFiles, "CA file %s contains no certificate", k.caFile)
 	}
 	k.cert, k.pool = &cert, pool
 	return nil
 }
 
-// current returns the newest usable keys.
-func (k *keys) current() (*tls.Certificate, *x509.CertPool) {
+// current returns the certificate and the CA pool, reloaded if the files have changed and are valid.
+func (k *certStore) current() (*tls.Certificate, *x509.CertPool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if now := time.Now(); now.Sub(k.checked) > keyRecheck {
-		k.checked = now
-		if m := newest(k.certFile, k.keyFile, k.caFile); m.After(k.modified) && k.read() == nil {
-			k.modified = m
+	if now := time.Now(); now.Sub(k.checkedAt) > fileCheckInterval {
+		k.checkedAt = now
+		if m := lastModified(k.certFile, k.keyFile, k.caFile); m.After(k.modifiedAt) && k.load() == nil {
+			k.modifiedAt = m
 		}
 	}
 	return k.cert, k.pool
 }
 
-func newest(files ...string) time.Time {
+func lastModified(files ...string) time.Time {
 	var t time.Time
 	for _, f := range files {
 		if i, err := os.Stat(f); err == nil && i.ModTime().After(t) {
@@ -75,8 +75,8 @@
 	return t
 }
 
-// server returns the listener's settings: the peer must show a certificate of the same authority.
-func (k *keys) server() *tls.Config {
+// serverConfig returns the TLS configuration of the listener. The client must present a certificate of the same CA.
+func (k *certStore) serverConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -92,9 +92,9 @@
 	}
 }
 
-// client returns the dialer's settings. Addresses are IP numbers that the certificates may not name, so the chain
-// is verified against the authority without the host name.
-func (k *keys) client() *tls.Config {
+// clientConfig returns the TLS configuration of the clients. Addresses are IP addresses, which the certificates need not
+// contain, so the chain is verified against the CA without the host name.
+func (k *certStore) clientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		InsecureSkipVerify: true, //nolint:gosec // VerifyConnection below checks the chain.
--- a/internal/rpc/tls_test.go
+++ b/internal/rpc/tls_test.go
@@ -28,13 +28,13 @@
 	spec.Run(t, "Messages between processes")
 }
 
-// authority signs certificates of one fleet.
-type authority struct {
+// testCA is the certificate authority of a fleet.
+type testCA struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-func newAuthority() authority {
+func newTestCA() testCA {
 	key, _ := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	t := &x509.Certificate{
 		SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "fleet"}, NotBefore: time.Now().Add(-time.Hour),
@@ -43,11 +43,11 @@
 	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
 	Expect(err).NotTo(HaveOccurred())
 	cert, _ := x509.ParseCertificate(der)
-	return authority{cert: cert, key: key}
+	return testCA{cert: cert, key: key}
 }
 
-// settings writes a process's key files, valid until a time, and returns the settings that name them.
-func (a authority) settings(dir string, until time.Time) *Settings {
+// settings writes the TLS files of a process, valid until the given time, and returns the settings that refer to them.
+func (a testCA) settings(dir string, until time.Time) *Settings {
 	key, _ := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	t := &x509.Certificate{
 		SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: "process"}, NotBefore: time.Now().Add(-time.Hour),
@@ -67,7 +67,7 @@
 	}
 }
 
-func open(s *Settings) *Server {
+func startServer(s *Settings) *Server {
 	r, err := New(s, kernel.NewClock(time.Now))
 	Expect(err).NotTo(HaveOccurred())
 	r.Handle("GET /who", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "me") }))
@@ -77,7 +77,7 @@
 	return r
 }
 
-func ask(from, to *Server) (string, error) {
+func request(from, to *Server) (string, error) {
 	a, err := from.ChunkClient().Get(to.URL(to.Address()) + "/who")
 	if err != nil {
 		return "", err
@@ -87,45 +87,45 @@
 	return string(b), err
 }
 
-var _ = Describe("keys", func() {
-	soon := func() time.Time { return time.Now().Add(time.Hour) }
+var _ = Describe("the TLS files", func() {
+	inOneHour := func() time.Time { return time.Now().Add(time.Hour) }
 
-	It("let processes of one fleet talk, and refuse others, expired keys and none", func() {
-		fleet := newAuthority()
-		a, b := open(fleet.settings(GinkgoT().TempDir(), soon())), open(fleet.settings(GinkgoT().TempDir(), soon()))
-		got, err := ask(a, b)
+	It("admit processes of the same fleet, and reject other CAs, expired certificates and connections without TLS", func() {
+		fleet := newTestCA()
+		a, b := startServer(fleet.settings(GinkgoT().TempDir(), inOneHour())), startServer(fleet.settings(GinkgoT().TempDir(), inOneHour()))
+		got, err := request(a, b)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got).To(Equal("me"))
-		stranger := open(newAuthority().settings(GinkgoT().TempDir(), soon()))
-		_, err = ask(stranger, b)
+		otherFleet := startServer(newTestCA().settings(GinkgoT().TempDir(), inOneHour()))
+		_, err = request(otherFleet, b)
 		Expect(err).To(HaveOccurred())
-		expired := open(fleet.settings(GinkgoT().TempDir(), time.Now().Add(-time.Minute)))
-		_, err = ask(expired, b)
+		expired := startServer(fleet.settings(GinkgoT().TempDir(), time.Now().Add(-time.Minute)))
+		_, err = request(expired, b)
 		Expect(err).To(HaveOccurred())
-		_, err = ask(a, expired)
+		_, err = request(a, expired)
 		Expect(err).To(HaveOccurred())
 		_, err = http.Get("http://" + b.Address() + "/who")
-		plain := err != nil
+		rejected := err != nil
 		if err == nil {
 			r, _ := http.Get("http://" + b.Address() + "/who")
-			plain = r.StatusCode == http.StatusBadRequest
+			rejected = r.StatusCode == http.StatusBadRequest
 		}
-		Expect(plain).To(BeTrue(), "without TLS there is no answer")
+		Expect(rejected).To(BeTrue(), "a request without TLS must fail")
 	})
 
-	It("are read again when their files change, without a restart", func() {
-		old, next := newAuthority(), newAuthority()
+	It("are reloaded when they change, without a restart", func() {
+		old, next := newTestCA(), newTestCA()
 		dir := GinkgoT().TempDir()
-		a := open(old.settings(dir, soon()))
-		b := open(next.settings(GinkgoT().TempDir(), soon()))
-		_, err := ask(b, a)
+		a := startServer(old.settings(dir, inOneHour()))
+		b := startServer(next.settings(GinkgoT().TempDir(), inOneHour()))
+		_, err := request(b, a)
 		Expect(err).To(HaveOccurred())
-		next.settings(dir, soon())
-		Eventually(func() error { _, err := ask(b, a); return err }, "8s", "200ms").Should(Succeed())
+		next.settings(dir, inOneHour())
+		Eventually(func() error { _, err := request(b, a); return err }, "8s", "200ms").Should(Succeed())
 	})
 
-	It("that can't be used are named at the start", func() {
-		s := newAuthority().settings(GinkgoT().TempDir(), soon())
+	It("are named in the error if they can't be loaded at the start", func() {
+		s := newTestCA().settings(GinkgoT().TempDir(), inOneHour())
 		Expect(os.WriteFile(s.Key, []byte("no key"), 0o600)).To(Succeed())
 		_, err := New(s, kernel.NewClock(time.Now))
 		Expect(errors.Is(err, ErrTLSFiles)).To(BeTrue())
