--- a/internal/configlog/change.go
+++ b/internal/configlog/change.go
@@ -13,31 +13,32 @@
 )
 
 var (
-	// ErrUnknown says that a change was not seen by the deadline; it may still come into force.
-	ErrUnknown = errors.New("outcome unknown")
-	// ErrRejected says that the fold rejected a change.
+	// ErrOutcomeUnknown is returned for a change that was not read back before the deadline. It may still take effect.
+	ErrOutcomeUnknown = errors.New("outcome unknown")
+	// ErrRejected is returned for a change that the configuration rejected when it was applied.
 	ErrRejected = errors.New("change rejected")
 )
 
-// appendRetry is the pause before a change is appended again; a change ID that comes twice counts once.
+// appendRetry is the delay before an unconfirmed change is appended again. That is safe, as a change ID is applied once.
 const appendRetry = 500 * time.Millisecond
 
-// Changer appends changes and answers once they are read back.
-type Changer struct {
+// ChangeWriter appends changes to the log and waits until they are read back.
+type ChangeWriter struct {
 	store  *Store
 	append func(ctx context.Context, data []byte) (id.Offset, error)
-	// retry waits until a change may be appended again.
+	// retry returns a channel that receives when the change may be appended again.
 	retry func() <-chan time.Time
 }
 
-// NewChanger makes a Changer over a store that a Tail keeps up to date.
-func NewChanger(s *Store, add func(ctx context.Context, data []byte) (id.Offset, error)) *Changer {
-	return &Changer{store: s, append: add, retry: func() <-chan time.Time { return time.After(appendRetry) }}
+// NewChangeWriter returns a ChangeWriter that appends with the function add and reads changes back from a store, which a Tail
+// keeps up to date.
+func NewChangeWriter(s *Store, add func(ctx context.Context, data []byte) (id.Offset, error)) *ChangeWriter {
+	return &ChangeWriter{store: s, append: add, retry: func() <-chan time.Time { return time.After(appendRetry) }}
 }
 
-// Submit appends a change and waits until the store has folded it. The error is ErrRejected with the reason, or
-// ErrUnknown at the context's deadline.
-func (c *Changer) Submit(ctx context.Context, m *pb.Change) (*pb.ChangeOutcome, error) {
+// Submit appends a change and waits until the store has applied it. It returns ErrRejected with the reason if the change was
+// rejected, and ErrOutcomeUnknown if the context ends first.
+func (c *ChangeWriter) Submit(ctx context.Context, m *pb.Change) (*pb.ChangeOutcome, error) {
 	data, err := proto.Marshal(&pb.Record{Body: &pb.Record_Change{Change: m}})
 	if err != nil {
 		return nil, trace.Wrap(err)
@@ -49,7 +50,7 @@
 			return o, rejection(o)
 		}
 		if !appended {
-			appended = c.try(ctx, data)
+			appended = c.tryAppend(ctx, data)
 			if appended {
 				continue
 			}
@@ -60,15 +61,15 @@
 		}
 		select {
 		case <-ctx.Done():
-			return nil, trace.Wrap(ErrUnknown, "change %s: ask again with GetChange", m.GetChangeId())
+			return nil, trace.Wrap(ErrOutcomeUnknown, "change %s: ask again with GetChange", m.GetChangeId())
 		case <-changed:
 		case <-again:
 		}
 	}
 }
 
-// try appends once and says whether the log confirmed it.
-func (c *Changer) try(ctx context.Context, data []byte) bool {
+// tryAppend appends the record once and reports whether the log confirmed it.
+func (c *ChangeWriter) tryAppend(ctx context.Context, data []byte) bool {
 	_, err := c.append(ctx, data)
 	return err == nil
 }
--- a/internal/decide/engine.go
+++ b/internal/decide/engine.go
@@ -26,7 +26,7 @@
 	name    id.Instance
 	address string
 	domain  id.Domain
-	born    id.Birth
+	born    id.Incarnation
 	// up is false after a crash, closed is true while its stager admits no requests, and loading while the engine itself
 	// takes none.
 	up, closed, loading bool
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -95,7 +95,7 @@
 
 // connectionError classifies a failed connection: the request was not run only if no connection was established.
 func (t *attempt) connectionError(err error) error {
-	if rpc.NeverConnected(err) && !t.answerStarted {
+	if rpc.IsDialError(err) && !t.answerStarted {
 		t.dispatcher.router.MarkUnreachable(t.candidate.VM)
 		return &NotRun{RetryAfter: defaultRetryAfter, Detail: "the upstream's VM takes no connection"}
 	}
--- a/internal/facts/announcement.go
+++ b/internal/facts/announcement.go
@@ -12,7 +12,7 @@
 type Announcement struct {
 	Instance id.Instance
 	// Born is the incarnation that the announcement is about, or 0 if it is not known.
-	Born    id.Birth
+	Born    id.Incarnation
 	Address string
 	// Left is true if the instance is leaving or is no longer listed.
 	Left bool
@@ -24,7 +24,7 @@
 // announcementState is the merged state of all announcements about the newest incarnation of an instance.
 type announcementState struct {
 	address string
-	born    id.Birth
+	born    id.Incarnation
 	// departed is true once an announcement said that the instance has left. departedAt and returnedAt are the highest
 	// positions of announcements that it has left, or is back.
 	departed               bool
@@ -54,7 +54,7 @@
 // hasLeft reports whether an instance has left whose entry in the local copy of the list has the given position and
 // incarnation. Only an entry that was written after the announcement, or one of a later incarnation, shows that the
 // instance is alive; an older entry comes from a list that lags.
-func (s *announcementState) hasLeft(position id.Position, born id.Birth) bool {
+func (s *announcementState) hasLeft(position id.Position, born id.Incarnation) bool {
 	return s.departed && !s.born.Before(born) && s.departedAt >= max(position, s.returnedAt)
 }
 
--- a/internal/facts/ended.go
+++ b/internal/facts/ended.go
@@ -8,7 +8,7 @@
 
 // endedIncarnation is the newest incarnation of an instance that is no longer listed.
 type endedIncarnation struct {
-	born id.Birth
+	born id.Incarnation
 	// forgetAt is when it is forgotten.
 	forgetAt time.Time
 }
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -23,7 +23,7 @@
 type Instance struct {
 	ID id.Instance
 	// Born identifies the incarnation of an ID; facts about one incarnation don't apply to the next.
-	Born    id.Birth
+	Born    id.Incarnation
 	Pool    id.Pool
 	Address string
 	Domain  id.Domain
--- a/internal/facts/leaving.go
+++ b/internal/facts/leaving.go
@@ -8,14 +8,14 @@
 
 // leavingIncarnation is an incarnation that has declared itself that it leaves.
 type leavingIncarnation struct {
-	born id.Birth
+	born id.Incarnation
 	// lastListedAt is when the local copy of the list was last known to contain the instance.
 	lastListedAt time.Time
 }
 
 // MarkLeaving notes that an upstream declared in an answer that it leaves. This is permanent for the incarnation. It
 // returns false if that was known already.
-func (f *Facts) MarkLeaving(n id.Instance, born id.Birth) bool {
+func (f *Facts) MarkLeaving(n id.Instance, born id.Incarnation) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.isLeaving(n, born) {
@@ -28,7 +28,7 @@
 }
 
 // addLeaving marks an incarnation as leaving; the caller holds the lock.
-func (f *Facts) addLeaving(n id.Instance, born id.Birth) {
+func (f *Facts) addLeaving(n id.Instance, born id.Incarnation) {
 	now := f.now()
 	if len(f.leaving) >= maxAnnounced {
 		f.sweepLeaving(now)
@@ -64,14 +64,14 @@
 }
 
 // AnnouncedLeaving reports whether an incarnation has declared itself that it leaves.
-func (f *Facts) AnnouncedLeaving(n id.Instance, born id.Birth) bool {
+func (f *Facts) AnnouncedLeaving(n id.Instance, born id.Incarnation) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.isLeaving(n, born)
 }
 
 // isLeaving is AnnouncedLeaving for callers that hold the lock.
-func (f *Facts) isLeaving(n id.Instance, born id.Birth) bool {
+func (f *Facts) isLeaving(n id.Instance, born id.Incarnation) bool {
 	l, ok := f.leaving[n]
 	return ok && !l.born.Before(born)
 }
--- a/internal/fleet/entry.go
+++ b/internal/fleet/entry.go
@@ -30,7 +30,7 @@
 
 // Leave stops the entry as an operator does and waits until it has ended.
 func (e *Entry) Leave() {
-	e.host.Leave()
+	e.host.BeginShutdown()
 	<-e.ended
 }
 
@@ -41,14 +41,14 @@
 	}
 	e := &Entry{VM: id.VM(fmt.Sprintf("entry-%d", i)), ended: make(chan struct{})}
 	dial, clock := (&net.Dialer{}).DialContext, f.clock(i)
-	s := rpc.NewShaped(l, dial, clock)
+	s := rpc.NewWithDialer(l, dial, clock)
 	parts := slices.Clone(entryParts)
 	if f.size.Serving {
 		parts = append(parts, servingEntryParts...)
 	}
 	e.host, err = f.hostOf(string(e.VM), f.domain(i), parts, clock, s, dial, func(m map[string]kernel.Section) {
 		n := m["membership"].(*membership.Settings)
-		n.ListEvery, n.GossipEvery, n.FarEvery = 200*time.Millisecond, 200*time.Millisecond, 300*time.Millisecond
+		n.ListInterval, n.GossipInterval, n.RemoteGossipInterval = 200*time.Millisecond, 200*time.Millisecond, 300*time.Millisecond
 		if f.size.Serving {
 			sum := sha256.Sum256([]byte(AdminToken))
 			c, o := m["caller"].(*callerapi.Settings), m["operator"].(*operatorapi.Settings)
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -61,7 +61,7 @@
 			}
 			f := New(self, s.Entries, r, h.Part(platform.PartName).(*platform.Client).ListVMs,
 				h.Clock.Observe, h.Log)
-			h.Metric("config_offset", expvar.Func(func() any { return f.State().Offset() }))
+			h.AddMetric("config_offset", expvar.Func(func() any { return f.State().Offset() }))
 			return f, nil
 		},
 	})
@@ -160,7 +160,7 @@
 	}
 	best := candidates[0]
 	for _, a := range candidates {
-		if time.Since(f.failedAt[a]) > membership.GoneAfter {
+		if time.Since(f.failedAt[a]) > membership.HeartbeatTimeout {
 			return a, nil
 		}
 		if f.failedAt[a].Before(f.failedAt[best]) {
@@ -238,9 +238,9 @@
 // applyAnswer applies the configuration and the VM list of a heartbeat's answer.
 func (f *Follower) applyAnswer(a *pb.SyncResponse) error {
 	if a.GetState() != nil {
-		f.Adopt(a.GetState())
+		f.RestoreSnapshot(a.GetState())
 	}
-	if _, err := f.Fold(a.GetRecords()); err != nil {
+	if _, err := f.Apply(a.GetRecords()); err != nil {
 		return err
 	}
 	if a.GetVmList() != nil {
--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -130,8 +130,8 @@
 	g := New(s, d, h.Part(facts.PartName).(*facts.Facts), loadSources, q, connect, h.Identity.Domain, h.Log)
 	g.listener = l
 	h.Part(rpc.PartName).(*rpc.Server).Handle(springrailv1connect.NewLimitServiceHandler(g))
-	h.Metric("requests", g.metrics.vars)
-	h.Metric("in_flight", expvar.Func(func() any { return g.inFlight.Load() }))
+	h.AddMetric("requests", g.metrics.vars)
+	h.AddMetric("in_flight", expvar.Func(func() any { return g.inFlight.Load() }))
 	return g, nil
 }
 
@@ -186,7 +186,7 @@
 	return trace.Wrap(err)
 }
 
-// NotReady implements kernel.Readier.
+// NotReady implements kernel.ReadinessReporter.
 func (g *Gateway) NotReady() string {
 	switch {
 	case g.leaving.Load():
@@ -203,7 +203,7 @@
 	g.leaving.Store(true)
 	deadline, ok := ctx.Deadline()
 	if ok {
-		timeout := time.Duration(drainShare * float64(clock.Left(deadline)))
+		timeout := time.Duration(drainShare * float64(clock.Until(deadline)))
 		var stop context.CancelFunc
 		ctx, stop = context.WithTimeout(ctx, timeout)
 		defer stop()
--- a/internal/gateway/permit_test.go
+++ b/internal/gateway/permit_test.go
@@ -35,7 +35,7 @@
 	}
 	// setPermitReply sets the reply to permit requests and the time that it takes.
 	setPermitReply := func(permit uint64, answered bool, took time.Duration) {
-		b.gateway.loadSources.Permits.Acquire = func(ctx context.Context, _ string, _ id.Birth) (uint64, bool) {
+		b.gateway.loadSources.Permits.Acquire = func(ctx context.Context, _ string, _ id.Incarnation) (uint64, bool) {
 			permitRequests.Add(1)
 			s.suspension.Add(int64(took))
 			if !answered {
@@ -53,8 +53,8 @@
 		s = &suspendableClock{}
 		permitRequests.Store(0)
 		b = newTestbedAt(s.now, route(catalog.Unsafe, "engines"))
-		b.gateway.loadSources.Permits.ReportLimit = func(string, id.Birth, throttle.Rate) {}
-		b.gateway.loadSources.Permits.ReportLimitEnd = func(string, id.Birth, uint64) {}
+		b.gateway.loadSources.Permits.ReportLimit = func(string, id.Incarnation, throttle.Rate) {}
+		b.gateway.loadSources.Permits.ReportLimitEnd = func(string, id.Incarnation, uint64) {}
 		for _, n := range []string{"u", "v", "w", "x"} {
 			b.addUpstream(n, "engines", func(q *http.Request, _ string, c net.Conn) { reply(c, q, 200, "", "ran") })
 			reportLimit(n)
@@ -118,9 +118,9 @@
 		var reportedLimits []throttle.Rate
 		var endedPermits []uint64
 		b.gateway.loadSources.Permits = PermitClient{
-			Acquire:        func(context.Context, string, id.Birth) (uint64, bool) { return 9, true },
-			ReportLimit:    func(_ string, _ id.Birth, r throttle.Rate) { reportedLimits = append(reportedLimits, r) },
-			ReportLimitEnd: func(_ string, _ id.Birth, permit uint64) { endedPermits = append(endedPermits, permit) },
+			Acquire:        func(context.Context, string, id.Incarnation) (uint64, bool) { return 9, true },
+			ReportLimit:    func(_ string, _ id.Incarnation, r throttle.Rate) { reportedLimits = append(reportedLimits, r) },
+			ReportLimitEnd: func(_ string, _ id.Incarnation, permit uint64) { endedPermits = append(endedPermits, permit) },
 		}
 		report(throttle.Announcement{Incarnation: 1})
 		for range 2 {
--- a/internal/gateway/restart_test.go
+++ b/internal/gateway/restart_test.go
@@ -20,7 +20,7 @@
 
 // setIncarnation makes the list show that the gateway's only upstream started at the given time and holds the given
 // version, or none for 0.
-func (b *testbed) setIncarnation(born id.Birth, held id.Revision) *facts.Instance {
+func (b *testbed) setIncarnation(born id.Incarnation, held id.Revision) *facts.Instance {
 	i := *b.facts.Instances()[0]
 	i.Born, i.Held = born, nil
 	if held > 0 {
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -181,7 +181,7 @@
 	if f.httpRequest.ContentLength == 0 {
 		return true
 	}
-	_ = http.NewResponseController(f.writer).SetReadDeadline(clock.In(f.remaining()))
+	_ = http.NewResponseController(f.writer).SetReadDeadline(clock.DeadlineAfter(f.remaining()))
 	limit := int64(f.catalog.Limits.BodyBytes)
 	if limit <= 0 {
 		limit = maxBufferedBody
@@ -210,7 +210,7 @@
 func (f *callerRequest) run() {
 	ctx, stop := context.WithTimeout(f.ctx, f.remaining())
 	defer stop()
-	_ = http.NewResponseController(f.writer).SetWriteDeadline(clock.In(f.remaining() + writeDeadlineSlack))
+	_ = http.NewResponseController(f.writer).SetWriteDeadline(clock.DeadlineAfter(f.remaining() + writeDeadlineSlack))
 	f.gateway.retryBudget.RecordRequest(f.pool)
 	for {
 		failure := f.tryUpstream(ctx)
--- a/internal/measure/config.go
+++ b/internal/measure/config.go
@@ -225,7 +225,7 @@
 	if source == "peers" {
 		err = fromPeer(ctx, l, records)
 	} else {
-		err = fromLog(ctx, l, known.State().Save(), records, source == "snapshot")
+		err = fromLog(ctx, l, known.State().Snapshot(), records, source == "snapshot")
 	}
 	row.RecoverySeconds = time.Since(started).Seconds()
 	return row, err
@@ -239,9 +239,9 @@
 		return err
 	}
 	if a.GetState() != nil {
-		s.Adopt(a.GetState())
+		s.RestoreSnapshot(a.GetState())
 	}
-	if _, err := s.Fold(a.GetRecords()); err != nil {
+	if _, err := s.Apply(a.GetRecords()); err != nil {
 		return err
 	}
 	return checkOffset(s, records)
--- a/internal/placement/limit.go
+++ b/internal/placement/limit.go
@@ -100,7 +100,7 @@
 
 // UnannouncedLimit returns an upstream's limit that the given incarnation of the process beside it has not announced,
 // with the upstream's incarnation; false if there is no such limit.
-func (t *Tracker) UnannouncedLimit(address string, incarnation uint64) (throttle.Rate, id.Birth, bool) {
+func (t *Tracker) UnannouncedLimit(address string, incarnation uint64) (throttle.Rate, id.Incarnation, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	u := t.upstreams[address]
--- a/internal/placement/limit_test.go
+++ b/internal/placement/limit_test.go
@@ -56,7 +56,7 @@
 		t = NewTracker(func() time.Time { return now })
 		i = &facts.Instance{ID: "i", Address: "a", Born: 5, ListPosition: 1}
 	})
-	report := func(b id.Birth, announcement throttle.Announcement) {
+	report := func(b id.Incarnation, announcement throttle.Announcement) {
 		t.SetReport("a", LoadReport{Incarnation: b, ReceivedAt: now, Limit: announcement})
 	}
 
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -15,7 +15,7 @@
 type Candidate struct {
 	Instance id.Instance
 	// Incarnation is the newest process lifetime known of the upstream.
-	Incarnation id.Birth
+	Incarnation id.Incarnation
 	Address     string
 	// Revision is the model version that it serves; 0 for upstreams that are not engines.
 	Revision id.Revision
--- a/internal/placement/tracker.go
+++ b/internal/placement/tracker.go
@@ -27,7 +27,7 @@
 // LoadReport is a report of the stager beside an upstream on the upstream's load and state.
 type LoadReport struct {
 	// Incarnation is the process lifetime of the upstream that the figures belong to; 0 if unknown.
-	Incarnation id.Birth
+	Incarnation id.Incarnation
 	// Running and Waiting are the numbers of requests at the upstream, and Slowdown is the factor by which it currently
 	// works slower than usual.
 	Running, Waiting int
@@ -64,7 +64,7 @@
 
 // upstream is the tracker's state for one process lifetime of the upstream at an address.
 type upstream struct {
-	incarnation  id.Birth
+	incarnation  id.Incarnation
 	report       LoadReport
 	inFlight     map[*sentRequest]struct{}
 	failures     int
@@ -108,7 +108,7 @@
 // entryOf returns the entry of an address for a process lifetime of its upstream. A later lifetime begins with an empty
 // entry, since requests, failures and reports belonged to the previous one; requests of that one keep their entry. It
 // returns nil for a lifetime known to be over. The caller holds the lock.
-func (t *Tracker) entryOf(address string, incarnation id.Birth) *upstream {
+func (t *Tracker) entryOf(address string, incarnation id.Incarnation) *upstream {
 	u := t.entry(address)
 	switch {
 	case incarnation.Before(u.incarnation):
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -11,7 +11,7 @@
 	Address  string
 	Instance id.Instance
 	// Born identifies the incarnation of an instance; 0 if it is not known.
-	Born id.Birth
+	Born id.Incarnation
 }
 
 // CallerAttempt identifies one attempt of a request's callers; each attempt has its own request ID.
--- a/internal/quarantine/news.go
+++ b/internal/quarantine/news.go
@@ -42,7 +42,7 @@
 }
 
 func incarnationFromProto(m *pb.UpstreamStart) Incarnation {
-	return Incarnation{Address: m.GetAddress(), Instance: id.Instance(m.GetInstance()), Born: id.Birth(m.GetBorn())}
+	return Incarnation{Address: m.GetAddress(), Instance: id.Instance(m.GetInstance()), Born: id.Incarnation(m.GetBorn())}
 }
 
 // ApplyNews applies the crash news of another gateway. Invalid fingerprints are counted and skipped.
--- a/internal/records/part.go
+++ b/internal/records/part.go
@@ -72,11 +72,11 @@
 			}
 			r.Handle(springrailv1connect.NewRecordServiceHandler(s.service, connect.WithReadMaxBytes(maxRequestBytes)))
 			t := h.Part(traffic.PartName).(*traffic.Part).Counter
-			r.Count(t)
+			r.CountTraffic(t)
 			for _, one := range s.readers {
 				one.onRequest = func(reason string) { t.Call("reading of "+one.log.topic.Name, reason) }
 			}
-			h.Metric("records", s.follower.metrics)
+			h.AddMetric("records", s.follower.metrics)
 			return s, nil
 		},
 	})
--- a/internal/reports/permits.go
+++ b/internal/reports/permits.go
@@ -49,7 +49,7 @@
 
 // RequestPermit requests a permit from an upstream's stager. It returns the permit's number, or 0 if none is available,
 // and whether an answer came before the context ended.
-func (s *Subscriber) RequestPermit(ctx context.Context, address string, born id.Birth) (permit uint64, answered bool) {
+func (s *Subscriber) RequestPermit(ctx context.Context, address string, born id.Incarnation) (permit uint64, answered bool) {
 	number, answer := s.permitRequests.add()
 	defer s.permitRequests.cancel(number)
 	s.sendToStager(address, &pb.PermitRequest{Number: number, Born: uint64(born)})
@@ -62,12 +62,12 @@
 }
 
 // SendLimit sends an upstream's stager the rate limit that an answer of the upstream named.
-func (s *Subscriber) SendLimit(address string, born id.Birth, r throttle.Rate) {
+func (s *Subscriber) SendLimit(address string, born id.Incarnation, r throttle.Rate) {
 	s.sendToStager(address, &pb.PermitRequest{Born: uint64(born), Named: proto.Float64(float64(r))})
 }
 
 // SendLimitEnd notifies an upstream's stager that the answer to the request with a permit named no rate limit.
-func (s *Subscriber) SendLimitEnd(address string, born id.Birth, permit uint64) {
+func (s *Subscriber) SendLimitEnd(address string, born id.Incarnation, permit uint64) {
 	s.sendToStager(address, &pb.PermitRequest{Born: uint64(born), Ended: permit})
 }
 
@@ -150,7 +150,7 @@
 // handlePermitRequest answers a gateway's permit request for the upstream of this stager, or stores what the gateway
 // reports about the upstream's rate limit.
 func (r *Reporter) handlePermitRequest(m *pb.PermitRequest) {
-	born := id.Birth(m.GetBorn())
+	born := id.Incarnation(m.GetBorn())
 	if m.Named != nil && throttle.ValidRate(m.GetNamed()) {
 		r.limiter.RecordGatewayLimit(throttle.Rate(m.GetNamed()), born)
 	}
--- a/internal/reports/subscriber.go
+++ b/internal/reports/subscriber.go
@@ -69,7 +69,7 @@
 			r := NewSubscriber(c, s.Port, h.Identity.Domain, h.Part(facts.PartName).(*facts.Facts), clock.Now, h.Log)
 			t := h.Part(traffic.PartName).(*traffic.Part).Counter
 			r.onSent = func(to id.Domain, bytes int) { t.Datagram(traffic.Subscriptions, to, bytes) }
-			h.Metric("reports", r.vars)
+			h.AddMetric("reports", r.vars)
 			return r, nil
 		},
 	})
@@ -236,7 +236,7 @@
 		s.applyAnnouncement(&r, w)
 	}
 	p := placement.LoadReport{
-		Incarnation: id.Birth(r.GetBorn()),
+		Incarnation: id.Incarnation(r.GetBorn()),
 		Running:     int(r.GetRunning()), Waiting: int(r.GetWaiting()), Slowdown: r.GetPace(),
 		Closed: r.GetClosed(), Down: r.GetDown(), Congested: r.GetNarrow(), Leaving: r.GetLeaving(), ReceivedAt: s.now(), EchoedStamp: madeAfter,
 		StampHeldFor: time.Duration(r.GetEchoHeldMs()) * time.Millisecond, Interval: localReportInterval, ConfigVersion: r.GetConfig(),
@@ -305,7 +305,7 @@
 func (s *Subscriber) applyAnnouncement(r *pb.UpstreamReport, w *pb.ListWord) {
 	n := id.Instance(w.GetInstance())
 	a := facts.Announcement{
-		Instance: n, Born: id.Birth(w.GetBorn()), Address: r.GetAddress(), Left: w.GetLeft(), Position: id.Position(w.GetOffset()),
+		Instance: n, Born: id.Incarnation(w.GetBorn()), Address: r.GetAddress(), Left: w.GetLeft(), Position: id.Position(w.GetOffset()),
 	}
 	if !s.facts.ApplyAnnouncement(a) {
 		return
--- a/internal/spread/gossip.go
+++ b/internal/spread/gossip.go
@@ -27,10 +27,10 @@
 func (p *Part) Run(ctx context.Context) error {
 	go p.runEvery(ctx, livenessInterval, func() {
 		p.members.Table.Tick()
-		p.members.Table.Forget(statusRetention)
+		p.members.Table.RemoveSilentOwners(statusRetention)
 	})
-	go p.runEvery(ctx, p.members.Settings.FarEvery, func() { p.pullStatuses(ctx, p.remoteEntries(), "") })
-	p.runEvery(ctx, p.members.Settings.GossipEvery, func() {
+	go p.runEvery(ctx, p.members.Settings.RemoteGossipInterval, func() { p.pullStatuses(ctx, p.remoteEntries(), "") })
+	p.runEvery(ctx, p.members.Settings.GossipInterval, func() {
 		p.pullStatuses(ctx, p.otherEntries(p.host.Identity.Domain), p.host.Identity.Domain)
 	})
 	return nil
@@ -106,12 +106,12 @@
 		return err
 	}
 	if a.GetState() != nil {
-		p.config.Adopt(a.GetState())
+		p.config.RestoreSnapshot(a.GetState())
 	}
 	if a.GetVmList() != nil {
 		p.members.List.Set(a.GetVmList())
 	}
-	_, err = p.config.Fold(a.GetRecords())
+	_, err = p.config.Apply(a.GetRecords())
 	return err
 }
 
--- a/internal/spread/spread.go
+++ b/internal/spread/spread.go
@@ -73,7 +73,7 @@
 // times out.
 func (p *Part) Sync(ctx context.Context, r *pb.SyncRequest) (*pb.SyncResponse, error) {
 	if s := r.GetStatus(); s != nil {
-		p.members.Table.Heartbeat(s)
+		p.members.Table.RecordHeartbeat(s)
 	}
 	if !p.config.Ready() {
 		return nil, connect.NewError(connect.CodeUnavailable, trace.Errorf("this entry has no configuration yet"))
@@ -108,7 +108,7 @@
 
 func (p *Part) buildResponse(r *pb.SyncRequest) *pb.SyncResponse {
 	a := &pb.SyncResponse{}
-	a.Records, a.State = p.config.After(id.Offset(r.GetOffset()))
+	a.Records, a.State = p.config.RecordsAfter(id.Offset(r.GetOffset()))
 	if l := p.members.List.Get(); l.GetVersion() > r.GetVmListVersion() {
 		a.VmList = l
 	}
@@ -117,5 +117,5 @@
 
 // Exchange returns the statuses that are newer than the caller's.
 func (p *Part) Exchange(_ context.Context, r *pb.ExchangeRequest) (*pb.ExchangeResponse, error) {
-	return &pb.ExchangeResponse{Updates: p.members.Table.Newer(r.GetVersions(), id.Domain(r.GetDomain()))}, nil
+	return &pb.ExchangeResponse{Updates: p.members.Table.UpdatesSince(r.GetVersions(), id.Domain(r.GetDomain()))}, nil
 }
--- a/internal/spread/turn.go
+++ b/internal/spread/turn.go
@@ -80,7 +80,7 @@
 	l := []activation.Replica{replicaOf(r, asking)}
 	for _, s := range statuses {
 		same := s.GetVm().GetDomain() == asking.GetVm().GetDomain() && s.GetVm().GetId() != asking.GetVm().GetId()
-		if same && !s.GetLeaving() && config.Targeted(r, s.GetVm()) {
+		if same && !s.GetLeaving() && config.IsTarget(r, s.GetVm()) {
 			l = append(l, replicaOf(r, s))
 		}
 	}
@@ -112,7 +112,7 @@
 		m := p.config.State().Rollout(id.Rollout(r.GetRollout()))
 		if m.GetState() == pb.RolloutState_ROLLOUT_STATE_ACTIVE && p.permits.TryGrant(m, r.GetStatus()) {
 			p.host.Events.Add(kernel.Event{
-				Kind: kernel.EventTurnGiven, Rollout: id.Rollout(r.GetRollout()),
+				Kind: kernel.EventSwapPermitGranted, Rollout: id.Rollout(r.GetRollout()),
 				Organisation: id.Organisation(m.GetOrganisation()), Detail: r.GetStatus().GetVm().GetId(),
 			})
 			return &pb.AskTurnResponse{Granted: true}, nil
--- a/internal/stager/ports.go
+++ b/internal/stager/ports.go
@@ -23,7 +23,7 @@
 // State is the state that the upstream reports.
 type State struct {
 	// Born is the start time of the upstream; 0 if it is not reported.
-	Born             id.Birth
+	Born             id.Incarnation
 	Running, Waiting int
 	KVUsed, KVTotal  uint64
 	Pace             float64
--- a/internal/throttle/limiter.go
+++ b/internal/throttle/limiter.go
@@ -38,7 +38,7 @@
 	now func() time.Time
 	mu  sync.Mutex
 	// incarnation is the newest known process lifetime of the upstream.
-	incarnation id.Birth
+	incarnation id.Incarnation
 	info        LimitInfo
 	// fromUpstream is true once the upstream itself has announced a limit to this process; from then on other sources
 	// are ignored.
@@ -66,7 +66,7 @@
 
 // RecordUpstreamReport applies the limit information in the upstream's own report, for the process lifetime that the
 // report belongs to.
-func (l *Limiter) RecordUpstreamReport(info LimitInfo, incarnation id.Birth) {
+func (l *Limiter) RecordUpstreamReport(info LimitInfo, incarnation id.Incarnation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.setIncarnation(incarnation)
@@ -80,7 +80,7 @@
 }
 
 // setIncarnation drops a limit of an earlier process lifetime. The caller holds the lock.
-func (l *Limiter) setIncarnation(incarnation id.Birth) {
+func (l *Limiter) setIncarnation(incarnation id.Incarnation) {
 	if l.incarnation.Before(incarnation) {
 		l.fromUpstream = false
 		if l.info.State == Limited {
@@ -91,7 +91,7 @@
 }
 
 // RecordGatewayLimit applies a limit that a gateway received in a response.
-func (l *Limiter) RecordGatewayLimit(r Rate, incarnation id.Birth) {
+func (l *Limiter) RecordGatewayLimit(r Rate, incarnation id.Incarnation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.setIncarnation(incarnation)
@@ -106,7 +106,7 @@
 }
 
 // RecordGatewayEnd applies a gateway's notice that the response to the request with the given permit had no limit.
-func (l *Limiter) RecordGatewayEnd(permit uint64, incarnation id.Birth) {
+func (l *Limiter) RecordGatewayEnd(permit uint64, incarnation id.Incarnation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.fromUpstream && !incarnation.Before(l.incarnation) && l.issuedAtLimit < permit && permit <= l.issued {
--- a/internal/throttle/simulation_test.go
+++ b/internal/throttle/simulation_test.go
@@ -249,8 +249,8 @@
 })
 
 // drawIncarnation draws an incarnation of the upstream: the present one or an unknown one.
-func drawIncarnation(t *rapid.T) id.Birth {
-	return id.Birth(rapid.IntRange(0, 1).Draw(t, "born"))
+func drawIncarnation(t *rapid.T) id.Incarnation {
+	return id.Incarnation(rapid.IntRange(0, 1).Draw(t, "born"))
 }
 
 var _ = Describe("limit notices in any order, duplicated and lost", func() {
--- a/internal/transfer/links.go
+++ b/internal/transfer/links.go
@@ -56,7 +56,7 @@
 	var l []Member
 	self := false
 	for _, v := range m.follower.List.Get().GetVms() {
-		if !config.Targeted(r, v) {
+		if !config.IsTarget(r, v) {
 			continue
 		}
 		self = self || id.VM(v.GetId()) == m.self.VM
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, trace.Wrap(err)
 	}
-	a, err := s.Bulk().Do(r)
+	a, err := s.ChunkClient().Do(r)
 	if err != nil {
 		return nil, trace.Wrap(errors.Join(ErrPeerFailed, err))
 	}
--- a/internal/transfer/part.go
+++ b/internal/transfer/part.go
@@ -121,8 +121,8 @@
 	if s.UplinkBytesPerSecond > 0 {
 		pace = rate.NewLimiter(rate.Limit(s.UplinkBytesPerSecond), writeSize)
 	}
-	h.Metric("swarm", expvar.Func(func() any { return m.Counters() }))
-	h.Metric("swarm_memory_bytes", expvar.Func(func() any { return m.MemoryUsed() }))
+	h.AddMetric("swarm", expvar.Func(func() any { return m.Counters() }))
+	h.AddMetric("swarm_memory_bytes", expvar.Func(func() any { return m.MemoryUsed() }))
 	u := NewUploads(m.holdings, s.Uploads, pace, &m.stats)
 	u.Register(r.Handle)
 	r.Handle(springrailv1connect.NewSwarmServiceHandler(u))
@@ -182,7 +182,7 @@
 func (m *Manager) targetedRollouts() []*pb.Rollout {
 	var l []*pb.Rollout
 	for _, r := range m.follower.State().Active() {
-		if config.Targeted(r, m.follower.Self()) {
+		if config.IsTarget(r, m.follower.Self()) {
 			l = append(l, r)
 		}
 	}
@@ -246,6 +246,6 @@
 	ctx, stop := context.WithCancel(ctx)
 	d := &runningDownload{Download: NewDownload(m.dependencies(), r, h, m.transport(r)), stop: stop}
 	m.downloads[id.Rollout(r.GetId())] = d
-	d.event(kernel.EventRolloutLearnt, "")
+	d.event(kernel.EventRolloutAdded, "")
 	go d.Run(ctx)
 }
--- a/internal/upconn/conn.go
+++ b/internal/upconn/conn.go
@@ -33,7 +33,7 @@
 	net.Conn
 	address string
 	// incarnation is the upstream's process lifetime that was known when the connection was opened.
-	incarnation id.Birth
+	incarnation id.Incarnation
 	r           *bufio.Reader
 	w           *bufio.Writer
 	// reusableUntil is the time from which the connection may not be used for another request.
@@ -73,7 +73,7 @@
 // take removes and returns the most recently used reusable connection to an address, or nil. A connection to an earlier
 // incarnation of the upstream is closed: during a network partition it stays silent, and a request sent over it would have an
 // unknown outcome.
-func (i *idlePool) take(address string, incarnation id.Birth, now time.Time) *conn {
+func (i *idlePool) take(address string, incarnation id.Incarnation, now time.Time) *conn {
 	for {
 		c := i.pop(address)
 		if c == nil {
--- a/internal/upconn/pool.go
+++ b/internal/upconn/pool.go
@@ -76,7 +76,7 @@
 	return e, nil
 }
 
-func (p *Pool) connect(ctx context.Context, address string, incarnation id.Birth) (*conn, error) {
+func (p *Pool) connect(ctx context.Context, address string, incarnation id.Incarnation) (*conn, error) {
 	p.OnDial()
 	n, err := p.dial(ctx, "tcp", address)
 	if err != nil {
@@ -165,7 +165,7 @@
 // ProbeRefused dials an address and reports whether the connection is refused: then the process there has ended although its
 // VM is running. The result is not known if the dial fails in another way, for example by a timeout. A successful connection
 // is kept for the next request.
-func (p *Pool) ProbeRefused(ctx context.Context, address string, incarnation id.Birth) (refused, known bool) {
+func (p *Pool) ProbeRefused(ctx context.Context, address string, incarnation id.Incarnation) (refused, known bool) {
 	c, err := p.connect(ctx, address, incarnation)
 	if err != nil {
 		refused = errors.Is(err, syscall.ECONNREFUSED)
--- a/internal/upconn/request.go
+++ b/internal/upconn/request.go
@@ -40,7 +40,7 @@
 	ContentLength int64
 	// Incarnation is the process lifetime of the upstream for which the request is meant, if known. The request is not sent
 	// over a reused connection to an earlier incarnation.
-	Incarnation id.Birth
+	Incarnation id.Incarnation
 	// MaySend is called once there is a connection, with the time that getting it took. If it returns false the request is not
 	// sent; nil permits every request. It prevents requests from being sent too late: on a congested link a connection may be
 	// established seconds after the dial.
--- a/internal/upstream/request_handler.go
+++ b/internal/upstream/request_handler.go
@@ -191,9 +191,9 @@
 	if r.GetIdempotencyKey() != "" {
 		q.Header.Set("Idempotency-Key", r.GetIdempotencyKey())
 	}
-	d.addEvent(kernel.EventRequestRun, r, "")
+	d.addEvent(kernel.EventRequestStarted, r, "")
 	got, err := d.send(q, r.GetRepeatable())
-	if err != nil && rpc.NeverConnected(err) {
+	if err != nil && rpc.IsDialError(err) {
 		a.markNotRun()
 		return d.refuse(a, &refusal{reason: pb.RefusalReason_REFUSAL_REASON_UPSTREAM_DOWN, detail: "the upstream took no connection"})
 	}
