--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,8 +1,9 @@
-// Package clock tells the time by which processes on different VMs agree on how long ago something was.
+// Package clock provides a monotonic clock that includes the time during which the VM is suspended, so that processes on
+// different VMs measure the same elapsed time.
 //
-// The steady clock of the standard library stands still while a VM is suspended. After that, what was known before
-// would look as fresh as it was then, and a version's time, a lease or a deadline would end too late by as long as the
-// suspension was.
+// The monotonic clock of the standard library stops while a VM is suspended. After a suspension, data received before it
+// would seem as fresh as it was then, and version times, leases and deadlines would expire too late by the length of the
+// suspension.
 package clock
 
 import (
@@ -13,66 +14,69 @@
 	"golang.org/x/sys/unix"
 )
 
-// readEvery is how old the system's word on suspensions may be, in time that is not suspended: for so long after waking
-// decisions may still be made as if there had been none, and no VM counts as in touch then. A reading takes 0.3 us
-// (BenchmarkNow), so that they take at most 0.02% of a processor.
-const readEvery = 2 * time.Millisecond
+// readInterval is the maximum age of the last reading of the system's boot-time clock, in time that is not suspended. For up
+// to this time after a resume, decisions may be made as if there had been no suspension, and no VM counts as being in contact
+// with others. A reading takes 0.3 us (BenchmarkNow), so that readings take at most 0.02% of a processor.
+const readInterval = 2 * time.Millisecond
 
-// Clock is steady, and counts suspensions. It is safe for concurrent use.
+// Clock is a monotonic clock that includes suspensions. It is safe for concurrent use.
 type Clock struct {
-	// steady is the standard library's clock, and boot the time since the VM started, suspensions included.
-	steady func() time.Time
-	boot   func() (time.Duration, error)
+	// monotonic is the monotonic clock of the standard library, and boot the time since the VM booted, including suspensions.
+	monotonic func() time.Time
+	boot      func() (time.Duration, error)
 
 	start     time.Time
 	startBoot time.Duration
-	// read is when boot was last read, by the steady clock since start, and lost how long the VM has been suspended since.
-	read, lost atomic.Int64
-	failed     atomic.Int64
-	mu         sync.Mutex
+	// lastRead is the time from start to the last reading of boot, by the monotonic clock. suspended is how long the VM has been
+	// suspended since start.
+	lastRead, suspended atomic.Int64
+	failedReadings      atomic.Int64
+	mu                  sync.Mutex
 }
 
-// New makes a clock over a steady one and one that counts suspensions.
-func New(steady func() time.Time, boot func() (time.Duration, error)) *Clock {
-	c := &Clock{steady: steady, boot: boot}
-	c.start = steady()
+// New returns a clock based on a monotonic clock and on the time since boot, which includes suspensions.
+func New(monotonic func() time.Time, boot func() (time.Duration, error)) *Clock {
+	c := &Clock{monotonic: monotonic, boot: boot}
+	c.start = monotonic()
 	b, err := boot()
 	if err != nil {
-		c.failed.Add(1)
+		c.failedReadings.Add(1)
 	}
 	c.startBoot = b
 	return c
 }
 
-// system is the clock of this VM.
-var system = New(time.Now, sinceBoot)
+// systemClock is the clock of this VM.
+var systemClock = New(time.Now, sinceBoot)
 
-// Now is the time by the clock of this VM. Only differences between two such times mean anything: the time of day in it
-// is too late by the suspensions since the process started. Contexts and connections take times of the standard
-// library: see DeadlineAfter and Until.
+// Now returns the time of this VM's clock. Only the difference between two such times is meaningful: the time of day is too
+// late by the suspensions since the process started. Contexts and connections take times of the standard library: see
+// DeadlineAfter and Until.
 func Now() time.Time {
-	return system.Now()
+	return systemClock.Now()
 }
 
-// DeadlineAfter is the time of the standard library after a duration, for connections, which know no other clock.
+// DeadlineAfter returns the time of the standard library's clock after a duration. Connections take their deadlines by
+// that clock only.
 func DeadlineAfter(d time.Duration) time.Time {
 	return time.Now().Add(d)
 }
 
-// Until is the duration until a time of the standard library, such as a context's deadline.
+// Until returns the duration until a time of the standard library's clock, such as the deadline of a context.
 func Until(t time.Time) time.Duration {
 	return time.Until(t)
 }
 
-// Suspended is how long this VM has been suspended since the process started.
+// Suspended returns how long this VM has been suspended since the process started.
 func Suspended() time.Duration {
-	system.Now()
-	return system.Suspended()
+	systemClock.Now()
+	return systemClock.Suspended()
 }
 
-// FailedReadings counts the readings of the system's clock that failed: suspensions are not seen then.
+// FailedReadings returns how many readings of the system's boot-time clock have failed. A failed reading does not detect
+// suspensions.
 func FailedReadings() int64 {
-	return system.failed.Load()
+	return systemClock.failedReadings.Load()
 }
 
 func sinceBoot() (time.Duration, error) {
@@ -83,33 +87,34 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// Now is the steady time with all suspensions.
+// Now returns the monotonic time including all suspensions.
 func (c *Clock) Now() time.Time {
-	now := c.steady()
-	if int64(now.Sub(c.start))-c.read.Load() >= int64(readEvery) {
-		c.look()
-		now = c.steady()
+	now := c.monotonic()
+	if int64(now.Sub(c.start))-c.lastRead.Load() >= int64(readInterval) {
+		c.readClocks()
+		now = c.monotonic()
 	}
-	return now.Add(time.Duration(c.lost.Load()))
+	return now.Add(time.Duration(c.suspended.Load()))
 }
 
-// Suspended is how long the VM has been suspended, as of the last reading.
+// Suspended returns how long the VM has been suspended, as of the last reading.
 func (c *Clock) Suspended() time.Duration {
-	return time.Duration(c.lost.Load())
+	return time.Duration(c.suspended.Load())
 }
 
-// look reads both clocks. What lies between the two readings makes a suspension look shorter, never longer.
-func (c *Clock) look() {
+// readClocks reads both clocks and updates the suspended time. A delay between the two readings makes a suspension appear
+// shorter, never longer.
+func (c *Clock) readClocks() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	b, err := c.boot()
-	steady := c.steady().Sub(c.start)
-	c.read.Store(int64(steady))
+	monotonic := c.monotonic().Sub(c.start)
+	c.lastRead.Store(int64(monotonic))
 	if err != nil {
-		c.failed.Add(1)
+		c.failedReadings.Add(1)
 		return
 	}
-	if lost := b - c.startBoot - steady; lost > c.Suspended() {
-		c.lost.Store(int64(lost))
+	if suspended := b - c.startBoot - monotonic; suspended > c.Suspended() {
+		c.suspended.Store(int64(suspended))
 	}
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -16,47 +16,47 @@
 	spec.Run(t, "The clock")
 }
 
-// vm plays the clocks of a VM that may be suspended.
+// vm simulates the clocks of a VM that can be suspended.
 type vm struct {
-	steady, boot time.Duration
-	err          error
+	monotonic, boot time.Duration
+	err             error
 }
 
-var began = time.Now()
+var startTime = time.Now()
 
 func (v *vm) clock() *Clock {
-	return New(func() time.Time { return began.Add(v.steady) }, func() (time.Duration, error) { return v.boot, v.err })
+	return New(func() time.Time { return startTime.Add(v.monotonic) }, func() (time.Duration, error) { return v.boot, v.err })
 }
 
-func (v *vm) runs(d time.Duration) {
-	v.steady += d
+func (v *vm) run(d time.Duration) {
+	v.monotonic += d
 	v.boot += d
 }
 
 var _ = Describe("the clock", func() {
-	It("counts suspensions, from 2 ms after waking on", func() {
+	It("includes a suspension from 2 ms after the resume", func() {
 		v := &vm{boot: time.Hour}
 		c := v.clock()
-		v.runs(time.Second)
-		Expect(c.Now().Sub(began)).To(Equal(time.Second))
+		v.run(time.Second)
+		Expect(c.Now().Sub(startTime)).To(Equal(time.Second))
 		v.boot += 5 * time.Second
-		v.runs(readEvery)
-		Expect(c.Now().Sub(began)).To(Equal(6*time.Second + readEvery))
+		v.run(readInterval)
+		Expect(c.Now().Sub(startTime)).To(Equal(6*time.Second + readInterval))
 		Expect(c.Suspended()).To(Equal(5 * time.Second))
 		v.boot += time.Second
-		v.runs(time.Minute)
-		Expect(c.Now().Sub(began)).To(Equal(67*time.Second + readEvery))
+		v.run(time.Minute)
+		Expect(c.Now().Sub(startTime)).To(Equal(67*time.Second + readInterval))
 	})
 
-	It("goes on as the steady clock where the system does not tell", func() {
+	It("follows the monotonic clock if the boot-time clock can't be read", func() {
 		v := &vm{err: errors.New("none")}
 		c := v.clock()
-		v.runs(time.Second)
-		Expect(c.Now().Sub(began)).To(Equal(time.Second))
-		Expect(c.failed.Load()).To(BeEquivalentTo(2))
+		v.run(time.Second)
+		Expect(c.Now().Sub(startTime)).To(Equal(time.Second))
+		Expect(c.failedReadings.Load()).To(BeEquivalentTo(2))
 	})
 
-	It("never goes back, and never ahead of the time since the start", func() {
+	It("never decreases, and never exceeds the time since the start", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			v := &vm{boot: time.Hour}
 			c := v.clock()
@@ -65,25 +65,25 @@
 				if ms < 0 {
 					v.boot += time.Duration(-ms) * time.Millisecond
 				} else {
-					v.runs(time.Duration(ms) * time.Millisecond)
+					v.run(time.Duration(ms) * time.Millisecond)
 				}
 				now := c.Now()
-				if now.Before(last) || now.Sub(began) > v.boot-time.Hour {
-					t.Fatalf("%v after %v at %v", now.Sub(began), last.Sub(began), v.boot-time.Hour)
+				if now.Before(last) || now.Sub(startTime) > v.boot-time.Hour {
+					t.Fatalf("%v after %v at %v", now.Sub(startTime), last.Sub(startTime), v.boot-time.Hour)
 				}
 				last = now
 			}
 		})
 	})
 
-	It("is that of this VM", func() {
+	It("reads the clocks of this VM", func() {
 		Expect(Now().Sub(time.Now())).To(BeNumerically("~", Suspended(), 10*time.Millisecond))
 		Expect(FailedReadings()).To(BeZero())
 	})
 })
 
 func BenchmarkNow(b *testing.B) {
-	b.Run("usual", func(b *testing.B) {
+	b.Run("Now", func(b *testing.B) {
 		for b.Loop() {
 			Now()
 		}
@@ -93,9 +93,9 @@
 			_ = time.Now()
 		}
 	})
-	b.Run("reading the system's", func(b *testing.B) {
+	b.Run("reading the boot-time clock", func(b *testing.B) {
 		for b.Loop() {
-			system.look()
+			systemClock.readClocks()
 		}
 	})
 }
--- a/internal/dial/dial.go
+++ b/internal/dial/dial.go
@@ -1,4 +1,4 @@
-// Package dial makes connections that notice when the other end has gone silent.
+// Package dial opens TCP connections that fail when the peer stops acknowledging data.
 package dial
 
 import (
@@ -9,19 +9,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// AckTimeout is how long bytes that were sent may stay without an acknowledgement. A connection may go silent for good, without
-// a reset, while new ones work: without this, what is sent on it waits until its own deadline, and a kept connection is
-// used again. On a link whose packets wait half a second, which counts as slowed (the users' rules), an acknowledgement
-// takes a second at the most.
+// AckTimeout is how long sent data may remain unacknowledged before the system closes the connection. A connection can go
+// silent permanently, without a reset, while new connections work. Without this timeout, a request on it would wait for its
+// own deadline, and the connection would be reused from the pool. On a link that delays packets by half a second, which the
+// users' requirements classify as slow but working, an acknowledgement takes at most a second.
 const AckTimeout = 1500 * time.Millisecond
 
-// New makes a dialer that gives connections up whose bytes are not acknowledged; it waits up to a time for a new one.
+// New returns a dialer with the given connect timeout. Its connections fail if data stays unacknowledged for AckTimeout.
 func New(timeout time.Duration) *net.Dialer {
-	return &net.Dialer{Timeout: timeout, KeepAlive: -1, Control: control}
+	return &net.Dialer{Timeout: timeout, KeepAlive: -1, Control: setUserTimeout}
 }
 
-// control sets the option before the connection is made.
-func control(_, _ string, c syscall.RawConn) error {
+// setUserTimeout sets the option TCP_USER_TIMEOUT before the socket connects.
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var err error
 	e := c.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(AckTimeout.Milliseconds()))
--- a/internal/dial/dial_test.go
+++ b/internal/dial/dial_test.go
@@ -17,7 +17,7 @@
 }
 
 var _ = Describe("a connection", func() {
-	It("is given up by the system once bytes stay unacknowledged", func() {
+	It("has the system's timeout for unacknowledged data set", func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(func() { _ = l.Close() })
