--- a/internal/id/id.go
+++ b/internal/id/id.go
@@ -1,56 +1,57 @@
-// Package id holds the named types of identifiers and units that all packages share.
+// Package id defines the types of the identifiers that all packages share.
 package id
 
-// Organisation names one user of the shared service.
+// Organisation identifies an organisation that uses the shared service.
 type Organisation string
 
-// VM names a virtual machine of the platform's list.
+// VM identifies a virtual machine of the platform's list.
 type VM string
 
-// Domain names a failure domain.
+// Domain identifies a failure domain.
 type Domain string
 
-// Pool names a group of upstreams of one sort.
+// Pool identifies a group of upstreams that a route can send requests to.
 type Pool string
 
-// Model is the name that callers ask for: a model or an adapter.
+// Model is the name of a model or an adapter as callers request it.
 type Model string
 
-// Version tells the versions of one model apart.
+// Version identifies a version of a model.
 type Version string
 
-// Rollout names the decision to have a version live.
+// Rollout identifies a rollout, which brings a version of a model live.
 type Rollout string
 
-// Request names one caller's request.
+// Request identifies a request of a caller.
 type Request string
 
-// Change names one operator's change; the operator makes it.
+// Change identifies a configuration change. The operator chooses the ID.
 type Change string
 
-// Offset is a position in the platform's log; the first record has offset 1 and 0 is before it.
+// Offset is a position in the platform's log. The first record has offset 1; offset 0 is the position before it.
 type Offset uint64
 
-// Fence orders the instructions to an engine; it is the log offset of the rollout's creation.
+// Fence is a fencing token that orders the commands to an engine: the log offset at which the rollout was created.
 type Fence uint64
 
-// Chunk is the index of a chunk in its version, from 0.
+// Chunk is the index of a chunk in its version, starting from 0.
 type Chunk uint32
 
-// Instance names an upstream process. One that starts again may get a new name or keep the one it had: an Incarnation tells its
-// starts apart.
+// Instance identifies an upstream process. A process that restarts may get a new ID or keep its old one; the Incarnation
+// distinguishes its lifetimes.
 type Instance string
 
-// Incarnation is when an upstream process started, by its own clock in Unix milliseconds; 0 where it does not say.
+// Incarnation distinguishes the lifetimes of an upstream process. It is the start time by the process's own clock, in Unix
+// milliseconds, or 0 if the process does not report it.
 type Incarnation uint64
 
-// Before says whether a start is known to be earlier than another one.
+// Before reports whether incarnation b is known to be earlier than o.
 func (b Incarnation) Before(o Incarnation) bool {
 	return b > 0 && b < o
 }
 
-// Route names a rule that leads requests to a pool.
+// Route identifies a routing rule, which sends requests to a pool.
 type Route string
 
-// Revision orders the weights of one model; a higher one is newer.
+// Revision orders the versions of a model's weights: a higher revision is newer.
 type Revision uint64
--- a/internal/id/position.go
+++ b/internal/id/position.go
@@ -7,18 +7,19 @@
 	"github.com/gravitational/trace"
 )
 
-// Position is a place in a topic of the platform's store: the store's era, and the offset in it. An era begins when the
-// store comes back from an older copy; it gives offsets out again, and what it holds then is newer than all it held before.
-// One number orders both. In era 0, which is that of a store without eras, it is the offset.
+// Position is a position in a topic of the platform's store: the era (the store epoch) and the offset in it. An era begins
+// when the store is restored from an older copy. The store then assigns offsets again that it has used before, and its
+// records are newer than all records of earlier eras. Positions compare as integers, by era first and then by offset. In era
+// 0, which is the only one of a store without eras, a position equals its offset.
 type Position uint64
 
-// ErrPositionRange says that an era or an offset is larger than a position holds.
-var ErrPositionRange = errors.New("no position in the store")
+// ErrPositionRange is returned if an era or an offset exceeds the range of Position.
+var ErrPositionRange = errors.New("position in the store is out of range")
 
-// offsetBits is the number of bits of a position that hold the offset; the others hold the era.
+// offsetBits is the number of low bits of a position that hold the offset. The high bits hold the era.
 const offsetBits = 40
 
-// PositionAt returns the position of an offset in an era, or ErrPositionRange.
+// PositionAt returns the position for an era and an offset, or ErrPositionRange if one of them is too large.
 func PositionAt(era, offset uint64) (Position, error) {
 	if offset >= 1<<offsetBits || era >= 1<<(64-offsetBits) {
 		return 0, trace.Wrap(ErrPositionRange, "era %d, offset %d", era, offset)
@@ -26,17 +27,17 @@
 	return Position(era<<offsetBits | offset), nil
 }
 
-// Era is the era of the store.
+// Era returns the store epoch of the position.
 func (p Position) Era() uint64 {
 	return uint64(p) >> offsetBits
 }
 
-// Offset is the place in the topic as the store counts it in that era.
+// Offset returns the offset that the store assigned in the position's era.
 func (p Position) Offset() uint64 {
 	return uint64(p) & (1<<offsetBits - 1)
 }
 
-// String is the offset, behind the era where there is one.
+// String formats the position as era/offset, or as the offset alone in era 0.
 func (p Position) String() string {
 	offset := strconv.FormatUint(p.Offset(), 10)
 	if p.Era() == 0 {
--- a/internal/id/position_test.go
+++ b/internal/id/position_test.go
@@ -16,7 +16,7 @@
 }
 
 var _ = Describe("a position in the store", func() {
-	It("orders by era, then by offset, and holds both", func() {
+	It("orders by era, then by offset, and returns both", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			era, offset := rapid.Uint64Range(0, 1<<24-1), rapid.Uint64Range(0, 1<<40-1)
 			e, o := era.Draw(t, "era"), offset.Draw(t, "offset")
@@ -32,7 +32,7 @@
 		})
 	})
 
-	It("is the offset where the store has no eras, and names the era where it has", func() {
+	It("equals the offset in era 0, and is formatted with the era in others", func() {
 		p, err := id.PositionAt(0, 7)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(p).To(Equal(id.Position(7)))
@@ -41,7 +41,7 @@
 		Expect(p.String()).To(Equal("3/7"))
 	})
 
-	It("is none where the era or the offset is too large", func() {
+	It("is rejected if the era or the offset is out of range", func() {
 		_, err := id.PositionAt(1<<24, 0)
 		Expect(err).To(MatchError(id.ErrPositionRange))
 		_, err = id.PositionAt(0, 1<<40)
--- a/internal/manifest/manifest.go
+++ b/internal/manifest/manifest.go
@@ -1,4 +1,4 @@
-// Package manifest makes and checks the lists of chunk hashes that pin a version's content.
+// Package manifest creates and verifies manifests: the lists of chunk hashes that define a version's content.
 package manifest
 
 import (
@@ -13,10 +13,10 @@
 	"github.com/springrail/springrail/internal/config"
 )
 
-// ErrMismatch says that a manifest is not the one that a version pins.
-var ErrMismatch = errors.New("not the manifest that the version pins")
+// ErrMismatch is returned if a manifest does not match the hash or the sizes of its version.
+var ErrMismatch = errors.New("the manifest does not match the version")
 
-// New hashes content into a manifest.
+// New computes the manifest of some content, divided into chunks of chunkBytes.
 func New(content io.Reader, chunkBytes uint64) (*pb.Manifest, error) {
 	m := &pb.Manifest{ChunkBytes: chunkBytes}
 	buffer := make([]byte, chunkBytes)
@@ -36,17 +36,17 @@
 	}
 }
 
-// Encode returns the bytes that a rollout pins.
+// Encode returns the deterministic encoding of a manifest. A rollout pins the SHA-256 sum of it.
 func Encode(m *pb.Manifest) ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(m)
 }
 
-// Decode reads the manifest that a version pins; it is ErrMismatch where the hash or the sizes differ. A version without a
-// pin, which only a platform that names versions by number has, is checked by its sizes alone.
+// Decode parses the manifest of a version and returns ErrMismatch if its hash or its sizes differ from those of the version.
+// A version without a pinned hash, which occurs only on a platform that numbers its versions, is checked by the sizes alone.
 func Decode(raw []byte, v *pb.Version) (*pb.Manifest, error) {
 	pin := v.GetManifestSha256()
 	if sum := sha256.Sum256(raw); len(pin) > 0 && string(sum[:]) != string(pin) {
-		return nil, trace.Wrap(ErrMismatch, "another hash")
+		return nil, trace.Wrap(ErrMismatch, "its hash differs")
 	}
 	m := &pb.Manifest{}
 	if err := proto.Unmarshal(raw, m); err != nil {
@@ -54,11 +54,11 @@
 	}
 	same := m.GetTotalBytes() == v.GetTotalBytes() && m.GetChunkBytes() == v.GetChunkBytes()
 	if !same || uint64(len(m.GetChunkSha256())) != config.ChunkCount(v) {
-		return nil, trace.Wrap(ErrMismatch, "other sizes")
+		return nil, trace.Wrap(ErrMismatch, "its sizes differ")
 	}
 	for _, s := range m.GetChunkSha256() {
 		if len(s) != sha256.Size {
-			return nil, trace.Wrap(ErrMismatch, "a hash of %d bytes", len(s))
+			return nil, trace.Wrap(ErrMismatch, "a chunk hash has %d bytes", len(s))
 		}
 	}
 	return m, nil
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,5 +1,5 @@
-// Package rendezvous orders VMs for a key by highest random weight, so that processes with the same list agree
-// without a message, and a VM that comes or goes moves only its own share.
+// Package rendezvous implements rendezvous hashing (highest random weight): processes with the same list of VMs compute the
+// same order of them for a key without communication, and adding or removing a VM moves only the keys assigned to it.
 package rendezvous
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// Weight is the weight of a VM for a key.
+// Weight returns the hash weight of a VM for a key.
 func Weight(key string, v id.VM) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(key)
@@ -19,7 +19,7 @@
 	return d.Sum64()
 }
 
-// Order returns the VMs by falling weight for the key.
+// Order returns the VMs sorted by descending weight for the key. VMs of equal weight are sorted by name.
 func Order(key string, vms []id.VM) []id.VM {
 	l := slices.Clone(vms)
 	slices.SortFunc(l, func(a, b id.VM) int {
@@ -38,7 +38,7 @@
 	return l
 }
 
-// Rank is the place of a VM in the order for a key, or -1 when it is not in the list.
+// Rank returns the index of a VM in the order for a key, or -1 if it is not in the list.
 func Rank(key string, vms []id.VM, v id.VM) int {
 	return slices.Index(Order(key, vms), v)
 }
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -1,4 +1,4 @@
-// Package status is what a process says of itself: health, metrics and its events.
+// Package status serves the health checks, the metrics and the events of a process.
 package status
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/springrail/springrail/internal/rpc"
 )
 
-// PartName is what other parts name in their needs.
+// PartName is the name of this part in the Needs of other parts.
 const PartName = "status"
 
-// Settings is the section [status].
+// Settings is the settings section [status].
 type Settings struct {
 	Listen string `toml:"listen"`
 }
@@ -40,7 +40,7 @@
 	})
 }
 
-// Part serves /livez, /readyz and /debug/vars, and the process's events to entries.
+// Part serves /livez, /readyz and /debug/vars on its own listener, and the process's events on the internal server.
 type Part struct {
 	host     *kernel.Host
 	listener net.Listener
@@ -71,16 +71,17 @@
 	return rpc.Serve(ctx, &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}, p.listener, nil)
 }
 
-// Events implements the process service.
+// Events implements the process service: it returns the events that match the request.
 func (p *Part) Events(_ context.Context, r *pb.EventsRequest) (*pb.EventsResponse, error) {
 	return &pb.EventsResponse{Events: List(p.host, r)}, nil
 }
 
-// List returns the process's events that fit a filter. Events of no organisation are about the process itself.
+// List returns the process's events that match the filters of a request. Events without an organisation concern the process
+// itself, and are returned only if the request names no organisation.
 func List(h *kernel.Host, r *pb.EventsRequest) []*pb.Event {
 	events := h.Events.List(func(e kernel.Event) bool {
-		own := r.GetOrganisation() == "" || e.Organisation == id.Organisation(r.GetOrganisation())
-		return own && (r.GetRollout() == "" || e.Rollout == id.Rollout(r.GetRollout())) &&
+		matchesOrganisation := r.GetOrganisation() == "" || e.Organisation == id.Organisation(r.GetOrganisation())
+		return matchesOrganisation && (r.GetRollout() == "" || e.Rollout == id.Rollout(r.GetRollout())) &&
 			(r.GetRequestId() == "" || e.Request == id.Request(r.GetRequestId()))
 	})
 	var l []*pb.Event
--- a/internal/vars/vars.go
+++ b/internal/vars/vars.go
@@ -1,4 +1,4 @@
-// Package vars serves a process's metrics in the form of package expvar.
+// Package vars serves the metrics of a process in the JSON format of package expvar.
 package vars
 
 import (
@@ -13,13 +13,13 @@
 	"github.com/springrail/springrail/internal/rpc"
 )
 
-// PartName is what other parts name in their needs.
+// PartName is the name of this part and of its settings section.
 const PartName = "metrics"
 
-// headTimeout bounds how long a reader of metrics may take to send its question.
-const headTimeout = time.Second
+// headerTimeout is how long a client may take to send the request headers.
+const headerTimeout = time.Second
 
-// Settings is the section [metrics].
+// Settings is the settings section [metrics].
 type Settings struct {
 	Listen string `toml:"listen"`
 }
@@ -45,7 +45,7 @@
 	})
 }
 
-// server answers readers of metrics.
+// server is the HTTP server for metrics.
 type server struct {
 	host     *kernel.Host
 	listener net.Listener
@@ -55,5 +55,5 @@
 func (s *server) Run(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+kernel.MetricsPath, s.host.ServeMetrics)
-	return rpc.Serve(ctx, &http.Server{Handler: mux, ReadHeaderTimeout: headTimeout}, s.listener, nil)
+	return rpc.Serve(ctx, &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}, s.listener, nil)
 }
