--- a/internal/spec/knownred.go
+++ b/internal/spec/knownred.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// knownRedFile lists at the module's root the specs that fail for a fault which is known and not yet mended: package,
-	// text of the spec, cause and issue, with knownRedSplit between them.
-	knownRedFile  = "KNOWN-RED.txt"
-	knownRedSplit = " | "
-	knownRedParts = 4
-	// knownRedMost bounds the list: a longer one is no list of exceptions.
-	knownRedMost = 3
-	// passOver is the variable of the environment that has these specs passed over; without it they run and fail.
-	passOver = "SPRINGRAIL_PASS_OVER_KNOWN_RED"
+	// knownRedFile is the file at the module's root that lists the specs that fail because of a known fault that is not fixed
+	// yet. Each line holds package, text of the spec, cause and issue, separated by knownRedSeparator.
+	knownRedFile      = "KNOWN-RED.txt"
+	knownRedSeparator = " | "
+	knownRedFields    = 4
+	// maxKnownRed is the maximum length of the list, as failing specs must remain exceptions.
+	maxKnownRed = 3
+	// passOverVariable is the environment variable that, if set, skips these specs. Otherwise they run and fail.
+	passOverVariable = "SPRINGRAIL_PASS_OVER_KNOWN_RED"
 )
 
-// knownRed returns the patterns of the specs of the calling package, run as a suite, that are to be passed over.
+// knownRed returns the patterns of the specs to skip in the calling package, whose suite has the given name.
 func knownRed(t *testing.T, suite string) []string {
 	t.Helper()
-	if os.Getenv(passOver) == "" {
+	if os.Getenv(passOverVariable) == "" {
 		return nil
 	}
 	dir, err := os.Getwd()
@@ -45,14 +45,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := redSpecs(string(b), filepath.ToSlash(here), suite)
+	l, err := skipPatterns(string(b), filepath.ToSlash(here), suite)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return l
 }
 
-// moduleRoot returns the nearest folder above with a go.mod.
+// moduleRoot returns the nearest folder with a go.mod: dir or one of its parents. If there is none, it returns dir.
 func moduleRoot(dir string) string {
 	for d := dir; d != filepath.Dir(d); d = filepath.Dir(d) {
 		if _, err := os.Stat(filepath.Join(d, "go.mod")); err == nil {
@@ -62,8 +62,8 @@
 	return dir
 }
 
-// redSpecs reads the list and returns the patterns of a package's specs.
-func redSpecs(list, pkg, suite string) ([]string, error) {
+// skipPatterns parses the list and returns the skip patterns for the specs of a package.
+func skipPatterns(list, pkg, suite string) ([]string, error) {
 	var l []string
 	lines := 0
 	for line := range strings.Lines(list) {
@@ -71,16 +71,16 @@
 		if line == "" {
 			continue
 		}
-		if lines++; lines > knownRedMost {
-			return nil, trace.Errorf("%s: more than %d lines; mend those first", knownRedFile, knownRedMost)
+		if lines++; lines > maxKnownRed {
+			return nil, trace.Errorf("%s: more than %d lines; fix the specs listed first", knownRedFile, maxKnownRed)
 		}
-		parts := strings.Split(line, knownRedSplit)
-		if len(parts) != knownRedParts || parts[1] == "" {
-			return nil, trace.Errorf("%s: %q is not %q", knownRedFile, line, "package | spec | cause | issue")
+		parts := strings.Split(line, knownRedSeparator)
+		if len(parts) != knownRedFields || parts[1] == "" {
+			return nil, trace.Errorf("%s: line %q does not have the form %q", knownRedFile, line, "package | spec | cause | issue")
 		}
 		if parts[0] == pkg {
 			fmt.Println("known red, passed over:", line)
-			// The runner matches the suite's name, a blank and the spec.
+			// Ginkgo matches the pattern against the suite's name, a space and the spec's text.
 			l = append(l, "^"+regexp.QuoteMeta(suite+" "+parts[1])+"$")
 		}
 	}
--- a/internal/spec/knownred_test.go
+++ b/internal/spec/knownred_test.go
@@ -13,23 +13,23 @@
 }
 
 var _ = Describe("the list of known red specs", func() {
-	It("names specs of one package by their whole text", func() {
-		l, err := redSpecs("internal/a | x does (not) y | a cause | 7\n\ninternal/b | z | another | 8\n", "internal/a", "Suite")
+	It("gives patterns that match the whole text of the specs of one package", func() {
+		l, err := skipPatterns("internal/a | x does (not) y | a cause | 7\n\ninternal/b | z | another | 8\n", "internal/a", "Suite")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(l).To(Equal([]string{`^Suite x does \(not\) y$`}))
 	})
 
-	It("is refused beyond three lines", func() {
+	It("is rejected if it has more than three lines", func() {
 		line := "internal/a | x | a cause | 7\n"
-		_, err := redSpecs(strings.Repeat(line, 3), "internal/a", "Suite")
+		_, err := skipPatterns(strings.Repeat(line, 3), "internal/a", "Suite")
 		Expect(err).NotTo(HaveOccurred())
-		_, err = redSpecs(strings.Repeat(line, 4), "internal/a", "Suite")
+		_, err = skipPatterns(strings.Repeat(line, 4), "internal/a", "Suite")
 		Expect(err).To(HaveOccurred())
 	})
 
-	It("is refused where a line lacks its cause or its spec", func() {
+	It("is rejected if a line lacks its cause or its spec", func() {
 		for _, list := range []string{"internal/a | x | 7", "internal/a |  | a cause | 7"} {
-			_, err := redSpecs(list, "internal/a", "Suite")
+			_, err := skipPatterns(list, "internal/a", "Suite")
 			Expect(err).To(HaveOccurred())
 		}
 	})
--- a/internal/spec/spec.go
+++ b/internal/spec/spec.go
@@ -1,5 +1,5 @@
-// Package spec runs a package's specs the same way every time: fixed seeds for the order of specs and for generated
-// histories.
+// Package spec runs the Ginkgo specs of a package reproducibly, with fixed seeds for the order of the specs and for the inputs
+// that rapid generates.
 package spec
 
 import (
@@ -14,31 +14,31 @@
 	_ "pgregory.net/rapid"
 )
 
-// PropertyChecks is the number of generated histories of each property.
+// PropertyChecks is the number of generated inputs with which rapid checks each property.
 const PropertyChecks = 10000
 
-// seed fixes all choices of a run.
+// seed is the seed of Ginkgo and of rapid.
 const seed = 20261202
 
-// Run runs the specs of the calling package.
+// Run runs the specs of the calling package as a suite of the given name.
 func Run(t *testing.T, name string) {
 	t.Helper()
 	gomega.RegisterFailHandler(ginkgo.Fail)
-	set(t, "rapid.checks", strconv.Itoa(PropertyChecks))
-	set(t, "rapid.seed", strconv.Itoa(seed))
-	set(t, "rapid.nofailfile", "true")
+	setDefault(t, "rapid.checks", strconv.Itoa(PropertyChecks))
+	setDefault(t, "rapid.seed", strconv.Itoa(seed))
+	setDefault(t, "rapid.nofailfile", "true")
 	c, r := ginkgo.GinkgoConfiguration()
 	c.RandomSeed = seed
 	c.SkipStrings = append(c.SkipStrings, knownRed(t, name)...)
 	ginkgo.RunSpecs(t, name, c, r)
 }
 
-// set changes a default; a flag of the command line goes before it.
-func set(t *testing.T, name, value string) {
+// setDefault sets a flag unless it was set on the command line.
+func setDefault(t *testing.T, name, value string) {
 	t.Helper()
 	f := flag.Lookup(name)
 	if f == nil {
-		t.Fatalf("flag %s is gone", name)
+		t.Fatalf("flag %s does not exist", name)
 	}
 	if f.Value.String() != f.DefValue {
 		return
--- a/internal/spec/style_test.go
+++ b/internal/spec/style_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-// commentMost is the longest line of a comment, in characters.
-const commentMost = 130
+// maxCommentLength is the maximum length of a comment line, in characters.
+const maxCommentLength = 130
 
-// replaced are words that packages used for things that have names; see docs/GLOSSARY.md.
+// replaced lists, for each package, words that must not be used because docs/GLOSSARY.md has terms for them.
 var replaced = map[string]*regexp.Regexp{
 	"internal/gateway": regexp.MustCompile(`(?i)\b(reckoning|backstage|ask(s|ed)? for leave|leave to send|mend(s|ed)?)\b`),
 }
@@ -37,7 +37,7 @@
 	}
 }
 
-// checkStyle reports comments that are too long and words that have been replaced.
+// checkStyle reports comment lines that are too long and words that have been replaced.
 func checkStyle(t *testing.T, root, path string) error {
 	t.Helper()
 	f, err := os.Open(path)
@@ -53,8 +53,8 @@
 	s := bufio.NewScanner(f)
 	for n := 1; s.Scan(); n++ {
 		line := s.Text()
-		if strings.HasPrefix(strings.TrimSpace(line), "//") && len(line) > commentMost && !strings.HasSuffix(path, "_test.go") {
-			t.Errorf("%s:%d: a comment of %d characters, %d at the most", name, n, len(line), commentMost)
+		if strings.HasPrefix(strings.TrimSpace(line), "//") && len(line) > maxCommentLength && !strings.HasSuffix(path, "_test.go") {
+			t.Errorf("%s:%d: comment line of %d characters, the maximum is %d", name, n, len(line), maxCommentLength)
 		}
 		if words != nil && words.MatchString(line) {
 			t.Errorf("%s:%d: %q has been replaced, see docs/GLOSSARY.md", name, n, words.FindString(line))
