--- a/internal/kernel/part.go
+++ b/internal/kernel/part.go
@@ -80,7 +80,7 @@
 func sortByDependencies(parts []Part) ([]Part, error) {
 	byName := map[string]Part{}
 	for _, p := range parts {
-		if _, twice := byName[p.Name]; twice {
+		if _, duplicate := byName[p.Name]; duplicate {
 			return nil, trace.Wrap(ErrInvalidParts, "part %q is registered twice", p.Name)
 		}
 		byName[p.Name] = p
