--- a/internal/configlog/change.go
+++ b/internal/configlog/change.go
@@ -55,15 +55,15 @@
 				continue
 			}
 		}
-		var again <-chan time.Time
+		var retryAfter <-chan time.Time
 		if !appended {
-			again = c.retry()
+			retryAfter = c.retry()
 		}
 		select {
 		case <-ctx.Done():
 			return nil, trace.Wrap(ErrOutcomeUnknown, "change %s: ask again with GetChange", m.GetChangeId())
 		case <-changed:
-		case <-again:
+		case <-retryAfter:
 		}
 	}
 }
--- a/internal/configlog/part.go
+++ b/internal/configlog/part.go
@@ -67,7 +67,7 @@
 	c := &Part{Store: s, host: h, settings: h.Section("config_log").(*Settings), platform: p}
 	c.ChangeWriter = NewChangeWriter(s, p.Append)
 	h.AddMetric("config_offset", expvar.Func(func() any { return s.State().Offset() }))
-	c.tail = NewTail(s, h.Log, p.Read, c.fromPeers)
+	c.tail = NewTail(s, h.Log, p.Read, c.readFromPeers)
 	return c, nil
 }
 
@@ -78,7 +78,7 @@
 	p.rank.Store(&rank)
 }
 
-func (p *Part) fromPeers(ctx context.Context) error {
+func (p *Part) readFromPeers(ctx context.Context) error {
 	p.host.Events.Add(kernel.Event{Kind: kernel.EventConfigUnavailable})
 	if f := p.peers.Load(); f != nil {
 		return (*f)(ctx)
@@ -125,11 +125,11 @@
 	if offset == 0 {
 		return false
 	}
-	seen, after := p.tail.lastSnapshot()
-	if seen.IsZero() {
-		seen = started
+	readAt, covered := p.tail.lastSnapshot()
+	if readAt.IsZero() {
+		readAt = started
 	}
-	return offset-after > id.Offset(p.settings.SnapshotRecords) || time.Since(seen) > p.settings.SnapshotAge
+	return offset-covered > id.Offset(p.settings.SnapshotRecords) || time.Since(readAt) > p.settings.SnapshotAge
 }
 
 func (p *Part) writeSnapshot(ctx context.Context) {
--- a/internal/configlog/tail.go
+++ b/internal/configlog/tail.go
@@ -35,10 +35,10 @@
 	// peers reads missing records from another process. It is called while the log can't be read.
 	peers func(ctx context.Context) error
 	mu    sync.Mutex
-	// snapshotSeen is the time at which the newest snapshot record was read, or zero if none was. snapshotAfter is the offset
+	// snapshotReadAt is the time at which the newest snapshot record was read, or zero if none was. snapshotOffset is the offset
 	// of the last record that this snapshot covers.
-	snapshotSeen  time.Time
-	snapshotAfter id.Offset
+	snapshotReadAt time.Time
+	snapshotOffset id.Offset
 }
 
 // NewTail returns a Tail that reads the log with the function read, and from other processes with the function peers.
@@ -109,8 +109,8 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.snapshotSeen = time.Now()
-	t.snapshotAfter = id.Offset(d.GetSnapshot().GetOffset())
+	t.snapshotReadAt = time.Now()
+	t.snapshotOffset = id.Offset(d.GetSnapshot().GetOffset())
 	return d.GetSnapshot()
 }
 
@@ -118,7 +118,7 @@
 func (t *Tail) lastSnapshot() (time.Time, id.Offset) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.snapshotSeen, t.snapshotAfter
+	return t.snapshotReadAt, t.snapshotOffset
 }
 
 // restore reads the whole log and restores the newest snapshot whose next record is still in the log.
--- a/internal/kernel/host.go
+++ b/internal/kernel/host.go
@@ -146,8 +146,8 @@
 func (h *Host) Ready() (bool, string) {
 	for _, p := range h.parts {
 		if r, ok := p.(ReadinessReporter); ok {
-			if why := r.NotReady(); why != "" {
-				return false, why
+			if reason := r.NotReady(); reason != "" {
+				return false, reason
 			}
 		}
 	}
--- a/internal/kernel/settings.go
+++ b/internal/kernel/settings.go
@@ -46,12 +46,12 @@
 	if ok {
 		return
 	}
-	full := c.section + "." + key
+	qualifiedKey := c.section + "." + key
 	got := "is missing"
-	if v, found := c.settings.values[full]; found {
+	if v, found := c.settings.values[qualifiedKey]; found {
 		got = fmt.Sprintf("got %v", v)
 	}
-	c.settings.addProblem(full, fmt.Sprintf("%s, want %s", got, want))
+	c.settings.addProblem(qualifiedKey, fmt.Sprintf("%s, want %s", got, want))
 }
 
 // settingsFile is a parsed settings file: the line and the value of each key, and the problems found so far.
@@ -172,15 +172,15 @@
 		known = append(known, tag)
 	}
 	for key, value := range table {
-		full := section + "." + key
-		f.values[full] = value
+		qualifiedKey := section + "." + key
+		f.values[qualifiedKey] = value
 		field, ok := fields[key]
 		if !ok {
-			f.addProblem(full, "unknown key, want one of "+strings.Join(known, ", "))
+			f.addProblem(qualifiedKey, "unknown key, want one of "+strings.Join(known, ", "))
 			continue
 		}
 		if want := assignField(field, value); want != "" {
-			f.addProblem(full, fmt.Sprintf("got %v, want %s", value, want))
+			f.addProblem(qualifiedKey, fmt.Sprintf("got %v, want %s", value, want))
 		}
 	}
 }
--- a/internal/operatorapi/service.go
+++ b/internal/operatorapi/service.go
@@ -76,8 +76,8 @@
 
 // PutOrganisation creates or replaces an organisation.
 func (s *Service) PutOrganisation(ctx context.Context, r *pb.PutOrganisationRequest) (*pb.PutOrganisationResponse, error) {
-	if why := config.CheckOrganisation(r.GetOrganisation()); why != "" {
-		return nil, connect.NewError(connect.CodeInvalidArgument, errors.New(why))
+	if reason := config.CheckOrganisation(r.GetOrganisation()); reason != "" {
+		return nil, connect.NewError(connect.CodeInvalidArgument, errors.New(reason))
 	}
 	name := r.GetOrganisation().GetId()
 	err := s.submitChange(ctx, &pb.Change{
@@ -122,8 +122,8 @@
 	if err := s.fillVersion(ctx, wanted.GetVersion()); err != nil {
 		return nil, err
 	}
-	if why := config.CheckRollout(wanted); why != "" {
-		return nil, connect.NewError(connect.CodeInvalidArgument, errors.New(why))
+	if reason := config.CheckRollout(wanted); reason != "" {
+		return nil, connect.NewError(connect.CodeInvalidArgument, errors.New(reason))
 	}
 	return s.create(ctx, r.GetChangeId(), r.GetBaseRevision(), wanted)
 }
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -32,10 +32,10 @@
 func (s *Settings) Check(c *kernel.Checker) {
 	_, _, err := net.SplitHostPort(s.Listen)
 	c.Require(err == nil, "listen", `an IP number and port such as "127.0.0.1:7101"`)
-	const why = "a file, as messages between processes use TLS (or plain = true to go without)"
-	c.Require(s.Plain || s.Cert != "", "cert", why)
-	c.Require(s.Plain || s.Key != "", "key", why)
-	c.Require(s.Plain || s.CA != "", "ca", why)
+	const want = "a file, as messages between processes use TLS (or plain = true to go without)"
+	c.Require(s.Plain || s.Cert != "", "cert", want)
+	c.Require(s.Plain || s.Key != "", "key", want)
+	c.Require(s.Plain || s.CA != "", "ca", want)
 	c.Require(!s.Plain || s.Cert+s.Key+s.CA == "", "plain", "false where cert, key or ca is set")
 }
 
--- a/internal/rpc/tls.go
+++ b/internal/rpc/tls.go
@@ -104,11 +104,11 @@
 		},
 		VerifyConnection: func(s tls.ConnectionState) error {
 			_, pool := k.current()
-			between := x509.NewCertPool()
+			intermediates := x509.NewCertPool()
 			for _, c := range s.PeerCertificates[1:] {
-				between.AddCert(c)
+				intermediates.AddCert(c)
 			}
-			_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: pool, Intermediates: between})
+			_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: pool, Intermediates: intermediates})
 			return err
 		},
 	}
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -62,8 +62,8 @@
 	mux.HandleFunc("GET "+kernel.MetricsPath, p.host.ServeMetrics)
 	mux.HandleFunc("GET /livez", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("ok\n")) })
 	mux.HandleFunc("GET /readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if ok, why := p.host.Ready(); !ok {
-			http.Error(w, why, http.StatusServiceUnavailable)
+		if ok, reason := p.host.Ready(); !ok {
+			http.Error(w, reason, http.StatusServiceUnavailable)
 			return
 		}
 		_, _ = w.Write([]byte("ok\n"))
