--- a/internal/cmd/cmd_traffic.go
+++ b/internal/cmd/cmd_traffic.go
@@ -24,7 +24,7 @@
 		from := c.Arg("from", "Log files, saved metrics, or metrics addresses such as http://10.0.0.1:9464/debug/vars; none reads "+
 			"standard input.").Strings()
 		return func(ctx context.Context, e *env) error {
-			var a traffic.Account
+			var a traffic.Totals
 			open := func(name string) (io.ReadCloser, error) { return openTraffic(ctx, name) }
 			if err := readInputs(*from, open, a.Read); err != nil {
 				return err
--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -123,7 +123,7 @@
 	}
 	d := h.Part(DialectPart).(*Dialect)
 	sub := h.Part(reports.SubscriberPart).(*reports.Subscriber)
-	connect := h.Part(traffic.PartName).(*traffic.Part).Dial(traffic.Requests, dial.New(dialTimeout).DialContext)
+	connect := h.Part(traffic.PartName).(*traffic.Part).CountingDialer(traffic.Requests, dial.New(dialTimeout).DialContext)
 	loadSources := LoadSources{Tracker: sub.Tracker(), Offers: sub.DemandMeter(), Demand: sub.Demand, Gateways: sub.GatewayCount}
 	loadSources.Permits = PermitClient{Acquire: sub.RequestPermit, ReportLimit: sub.SendLimit, ReportLimitEnd: sub.SendLimitEnd}
 	q := h.Part(quarantine.PartName).(*quarantine.Quarantine)
--- a/internal/records/part.go
+++ b/internal/records/part.go
@@ -74,7 +74,7 @@
 			t := h.Part(traffic.PartName).(*traffic.Part).Counter
 			r.Count(t)
 			for _, one := range s.readers {
-				one.onRequest = func(reason string) { t.Call("reading of "+one.log.topic.Name, reason) }
+				one.onRequest = func(reason string) { t.CountCall("reading of "+one.log.topic.Name, reason) }
 			}
 			h.Metric("records", s.follower.metrics)
 			return s, nil
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -38,7 +38,7 @@
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		n, err := s.dial(ctx, network, address)
 		if c := s.counter.Load(); c != nil && err == nil {
-			n = c.Conn(k, address, n)
+			n = c.CountConn(k, address, n)
 		}
 		return n, err
 	}
--- a/internal/traffic/account.go
+++ b/internal/traffic/account.go
@@ -13,8 +13,8 @@
 // mostText bounds a log line or a metrics document in bytes; those of the processes stay below 64 KB.
 const mostText = 1 << 20
 
-// Account adds up what processes have counted, from their logs or metrics.
-type Account struct {
+// Totals adds up what processes have counted, from their logs or metrics.
+type Totals struct {
 	// Processes counts those that were read, restarts as further ones.
 	Processes int              `json:"processes"`
 	Rows      []Row            `json:"rows"`
@@ -26,12 +26,12 @@
 // Row is a kind of traffic.
 type Row struct {
 	Kind string           `json:"kind"`
-	By   map[string]Count `json:"by"`
+	ByDistance   map[string]Count `json:"by"`
 }
 
 // Bytes are what went both ways at a distance.
 func (r *Row) Bytes(distance string) int64 {
-	return r.By[distance].Sent + r.By[distance].Got
+	return r.ByDistance[distance].Sent + r.ByDistance[distance].Received
 }
 
 // text is what is read of a log line, or of a metrics document.
@@ -45,7 +45,7 @@
 
 // Read adds the logs of any number of processes, or the metrics of one. A log line may have a prefix before its first
 // brace. What has no counts is passed over.
-func (a *Account) Read(r io.Reader) error {
+func (a *Totals) Read(r io.Reader) error {
 	b := bufio.NewReader(r)
 	if head, err := b.Peek(2); err == nil && head[0] == '{' && head[1] == '\n' {
 		return a.readMetrics(b)
@@ -55,11 +55,11 @@
 	for s.Scan() {
 		l := s.Bytes()
 		at := bytes.IndexByte(l, '{')
-		if at < 0 || !bytes.Contains(l, []byte(`"`+Field+`"`)) {
+		if at < 0 || !bytes.Contains(l, []byte(`"`+SnapshotKey+`"`)) {
 			continue
 		}
 		var t text
-		if json.Unmarshal(l[at:], &t) == nil && t.Message == Message && t.Traffic != nil {
+		if json.Unmarshal(l[at:], &t) == nil && t.Message == LogMessage && t.Traffic != nil {
 			a.add(*t.Traffic)
 		}
 	}
@@ -67,30 +67,30 @@
 }
 
 // readMetrics adds a document as the metrics address serves it.
-func (a *Account) readMetrics(r io.Reader) error {
+func (a *Totals) readMetrics(r io.Reader) error {
 	var t text
 	if err := json.NewDecoder(io.LimitReader(r, mostText)).Decode(&t); err != nil {
 		return trace.Wrap(err)
 	}
 	if t.Springrail.Traffic == nil {
-		return trace.BadParameter("the metrics have no %q", Field)
+		return trace.BadParameter("the metrics have no %q", SnapshotKey)
 	}
 	a.add(*t.Springrail.Traffic)
 	return nil
 }
 
 // add keeps the newest snapshot of each process.
-func (a *Account) add(s Snapshot) {
+func (a *Totals) add(s Snapshot) {
 	if a.newest == nil {
 		a.newest = map[string]Snapshot{}
 	}
-	if old, known := a.newest[s.Life]; !known || old.UptimeMs <= s.UptimeMs {
-		a.newest[s.Life] = s
+	if old, known := a.newest[s.Incarnation]; !known || old.UptimeMs <= s.UptimeMs {
+		a.newest[s.Incarnation] = s
 	}
 }
 
 // Sum adds all processes up. Rows are in the order of the kinds.
-func (a *Account) Sum() {
+func (a *Totals) Sum() {
 	a.Processes, a.Rows, a.Calls = len(a.newest), nil, map[string]int64{}
 	by := map[string]map[string]Count{}
 	for _, s := range a.newest {
@@ -100,7 +100,7 @@
 			}
 			for d, n := range counts {
 				v := by[k][d]
-				by[k][d] = Count{Number: v.Number + n.Number, Sent: v.Sent + n.Sent, Got: v.Got + n.Got}
+				by[k][d] = Count{Number: v.Number + n.Number, Sent: v.Sent + n.Sent, Received: v.Received + n.Received}
 			}
 		}
 		for c, n := range s.Calls {
@@ -109,13 +109,13 @@
 	}
 	for _, k := range kindNames {
 		if by[k] != nil {
-			a.Rows = append(a.Rows, Row{Kind: k, By: by[k]})
+			a.Rows = append(a.Rows, Row{Kind: k, ByDistance: by[k]})
 		}
 	}
 }
 
 // calls lists the reasons of calls, the most frequent first.
-func (a *Account) calls() []string {
+func (a *Totals) calls() []string {
 	var l []string
 	for c := range a.Calls {
 		l = append(l, c)
--- a/internal/traffic/conn.go
+++ b/internal/traffic/conn.go
@@ -43,13 +43,13 @@
 // Dialer opens a connection to an address.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dial returns a dialer whose connections are counted.
-func (c *Counter) Dial(k Kind, next Dialer) Dialer {
+// CountingDialer returns a dialer whose connections are counted.
+func (c *Counter) CountingDialer(k Kind, next Dialer) Dialer {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		n, err := next(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return c.Conn(k, address, n), nil
+		return c.CountConn(k, address, n), nil
 	}
 }
--- a/internal/traffic/part.go
+++ b/internal/traffic/part.go
@@ -15,10 +15,10 @@
 // PartName is what other parts name in their needs.
 const PartName = "traffic"
 
-// Message is the message of the log lines with a snapshot, and Field the snapshot's field there and among the metrics.
+// LogMessage is the message of the log lines with a snapshot, and SnapshotKey the snapshot's field there and among the metrics.
 const (
-	Message = "traffic"
-	Field   = "traffic"
+	LogMessage = "traffic"
+	SnapshotKey   = "traffic"
 )
 
 // leastLog bounds how often a line is written: it has up to 2 KB.
@@ -53,7 +53,7 @@
 			p := &Part{
 				Counter: New(h.Identity.Domain, regions, domains(f, h.Identity.Domain), time.Now), every: s.LogEvery, log: h.Log,
 			}
-			h.Metric(Field, p.Counter)
+			h.Metric(SnapshotKey, p.Counter)
 			return p, nil
 		},
 	})
@@ -90,7 +90,7 @@
 	}
 	for ctx.Err() == nil {
 		kernel.Pause(ctx, p.every)
-		p.log.Info().RawJSON(Field, []byte(p.String())).Msg(Message)
+		p.log.Info().RawJSON(SnapshotKey, []byte(p.String())).Msg(LogMessage)
 	}
 	return nil
 }
--- a/internal/traffic/text.go
+++ b/internal/traffic/text.go
@@ -10,7 +10,7 @@
 const megabyte = 1e6
 
 // Text writes the account as two tables: bytes by kind and distance, and calls by reason.
-func (a *Account) Text(w io.Writer) error {
+func (a *Totals) Text(w io.Writer) error {
 	if a.Processes == 0 {
 		_, err := fmt.Fprintln(w, "no counts of traffic there; set traffic.log_every, or read the metrics address")
 		return err
@@ -26,7 +26,7 @@
 		r := &a.Rows[i]
 		fmt.Fprint(t, r.Kind)
 		for d, name := range distanceNames {
-			n := r.By[name]
+			n := r.ByDistance[name]
 			all[d].Number += n.Number
 			all[d].Sent += r.Bytes(name)
 			writeCount(t, n.Number, r.Bytes(name))
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -55,7 +55,7 @@
 
 // The distances. Unknown is the other end's whose failure domain this process does not know, such as the store.
 const (
-	Near Distance = iota
+	SameDomain Distance = iota
 	OtherDomain
 	OtherRegion
 	Unknown
@@ -94,11 +94,11 @@
 	}
 }
 
-// To says how far a failure domain is. One whose region is not known counts as in the same.
-func (c *Counter) To(d id.Domain) Distance {
+// DistanceTo says how far a failure domain is. One whose region is not known counts as in the same.
+func (c *Counter) DistanceTo(d id.Domain) Distance {
 	switch {
 	case d == c.self:
-		return Near
+		return SameDomain
 	case c.regions[d] != c.regions[c.self] && c.regions[d] != "":
 		return OtherRegion
 	default:
@@ -106,20 +106,20 @@
 	}
 }
 
-// Datagram counts one that was sent to a failure domain.
-func (c *Counter) Datagram(k Kind, d id.Domain, bytes int) {
-	l := &c.cells[k][c.To(d)]
+// CountDatagram counts one that was sent to a failure domain.
+func (c *Counter) CountDatagram(k Kind, d id.Domain, bytes int) {
+	l := &c.cells[k][c.DistanceTo(d)]
 	l.number.Add(1)
 	l.sent.Add(int64(bytes))
 }
 
-// Call counts a call to something, such as the store, for a reason. Both are fixed texts, so that their number is bounded.
-func (c *Counter) Call(to, reason string) {
+// CountCall counts a call to something, such as the store, for a reason. Both are fixed texts, so that their number is bounded.
+func (c *Counter) CountCall(to, reason string) {
 	c.calls.Add(to+" "+reason, 1)
 }
 
-// Conn counts a connection that this process has opened to an address, and what goes over it.
-func (c *Counter) Conn(k Kind, address string, n net.Conn) net.Conn {
+// CountConn counts a connection that this process has opened to an address, and what goes over it.
+func (c *Counter) CountConn(k Kind, address string, n net.Conn) net.Conn {
 	t, ok := n.(*net.TCPConn)
 	if !ok {
 		return n
@@ -127,7 +127,7 @@
 	d := Unknown
 	if host, _, err := net.SplitHostPort(address); err == nil {
 		if at, known := c.domainAt(host); known {
-			d = c.To(at)
+			d = c.DistanceTo(at)
 		}
 	}
 	l := &c.cells[k][d]
@@ -139,28 +139,28 @@
 type Count struct {
 	Number int64 `json:"number"`
 	Sent   int64 `json:"sent"`
-	Got    int64 `json:"got"`
+	Received    int64 `json:"got"`
 }
 
 // Snapshot is what a process has counted since its start.
 type Snapshot struct {
-	// Life tells the process from an earlier one on its VM.
-	Life     string                      `json:"life"`
+	// Incarnation tells the process from an earlier one on its VM.
+	Incarnation     string                      `json:"life"`
 	UptimeMs int64                       `json:"uptime_ms"`
 	Kinds    map[string]map[string]Count `json:"kinds"`
 	Calls    map[string]int64            `json:"calls"`
 }
 
-// Read returns what has been counted; kinds and distances without anything are left out.
-func (c *Counter) Read() Snapshot {
+// Snapshot returns what has been counted; kinds and distances without anything are left out.
+func (c *Counter) Snapshot() Snapshot {
 	s := Snapshot{
-		Life: c.life, UptimeMs: c.now().Sub(c.start).Milliseconds(), Kinds: map[string]map[string]Count{}, Calls: map[string]int64{},
+		Incarnation: c.life, UptimeMs: c.now().Sub(c.start).Milliseconds(), Kinds: map[string]map[string]Count{}, Calls: map[string]int64{},
 	}
 	for k := range kinds {
 		by := map[string]Count{}
 		for d := range distances {
 			l := &c.cells[k][d]
-			if n := (Count{Number: l.number.Load(), Sent: l.sent.Load(), Got: l.got.Load()}); n != (Count{}) {
+			if n := (Count{Number: l.number.Load(), Sent: l.sent.Load(), Received: l.got.Load()}); n != (Count{}) {
 				by[d.String()] = n
 			}
 		}
@@ -178,7 +178,7 @@
 
 // String is the snapshot as JSON, so that a Counter is a metric.
 func (c *Counter) String() string {
-	b, err := json.Marshal(c.Read())
+	b, err := json.Marshal(c.Snapshot())
 	if err != nil {
 		return "{}"
 	}
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -55,9 +55,9 @@
 
 var _ = Describe("the distance of a failure domain", func() {
 	DescribeTable("follows from the regions", func(d id.Domain, want Distance) {
-		Expect(counter().To(d)).To(Equal(want))
+		Expect(counter().DistanceTo(d)).To(Equal(want))
 	},
-		Entry("the own", id.Domain("a"), Near), Entry("of the same region", id.Domain("b"), OtherDomain),
+		Entry("the own", id.Domain("a"), SameDomain), Entry("of the same region", id.Domain("b"), OtherDomain),
 		Entry("of another region", id.Domain("c"), OtherRegion), Entry("of a region that is not known", id.Domain("x"), OtherDomain),
 	)
 })
@@ -65,11 +65,11 @@
 var _ = Describe("the counter", func() {
 	It("counts datagrams by kind and distance", func() {
 		c := counter()
-		c.Datagram(Reports, "a", 10)
-		c.Datagram(Reports, "c", 20)
-		c.Datagram(Reports, "c", 30)
-		c.Datagram(Subscriptions, "b", 5)
-		Expect(c.Read().Kinds).To(Equal(map[string]map[string]Count{
+		c.CountDatagram(Reports, "a", 10)
+		c.CountDatagram(Reports, "c", 20)
+		c.CountDatagram(Reports, "c", 30)
+		c.CountDatagram(Subscriptions, "b", 5)
+		Expect(c.Snapshot().Kinds).To(Equal(map[string]map[string]Count{
 			"reports":       {"near": {Number: 1, Sent: 10}, "other region": {Number: 2, Sent: 50}},
 			"subscriptions": {"other domain": {Number: 1, Sent: 5}},
 		}))
@@ -77,7 +77,7 @@
 
 	It("counts the bytes of connections both ways, whichever way they are moved", func() {
 		c := counter()
-		dial := c.Dial(Requests, (&net.Dialer{}).DialContext)
+		dial := c.CountingDialer(Requests, (&net.Dialer{}).DialContext)
 		n, err := dial(context.Background(), "tcp", echo())
 		Expect(err).NotTo(HaveOccurred())
 		_, isSocket := n.(syscall.Conn)
@@ -92,44 +92,44 @@
 		Expect(err).NotTo(HaveOccurred())
 		_, err = io.Copy(io.Discard, n)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(c.Read().Kinds).To(Equal(map[string]map[string]Count{
-			"requests": {"other region": {Number: 1, Sent: 8, Got: 16}},
+		Expect(c.Snapshot().Kinds).To(Equal(map[string]map[string]Count{
+			"requests": {"other region": {Number: 1, Sent: 8, Received: 16}},
 		}))
 	})
 
 	It("says where it does not know how far a connection goes, and counts none that fails", func() {
 		c := New("a", regions, func(string) (id.Domain, bool) { return "", false }, time.Now)
-		_, err := c.Dial(Store, func(context.Context, string, string) (net.Conn, error) { return nil, io.EOF })(
+		_, err := c.CountingDialer(Store, func(context.Context, string, string) (net.Conn, error) { return nil, io.EOF })(
 			context.Background(), "tcp", "127.0.0.1:1")
 		Expect(err).To(MatchError(io.EOF))
-		Expect(c.Read().Kinds).To(BeEmpty())
-		n, err := c.Dial(Store, (&net.Dialer{}).DialContext)(context.Background(), "tcp", echo())
+		Expect(c.Snapshot().Kinds).To(BeEmpty())
+		n, err := c.CountingDialer(Store, (&net.Dialer{}).DialContext)(context.Background(), "tcp", echo())
 		Expect(err).NotTo(HaveOccurred())
 		n.Close()
-		Expect(c.Read().Kinds["store"]).To(HaveKey("unknown"))
+		Expect(c.Snapshot().Kinds["store"]).To(HaveKey("unknown"))
 	})
 
 	It("counts calls by whom and why", func() {
 		c := counter()
-		c.Call("store", "start")
-		c.Call("store", "start")
-		c.Call("origin", "chunk")
-		Expect(c.Read().Calls).To(Equal(map[string]int64{"store start": 2, "origin chunk": 1}))
+		c.CountCall("store", "start")
+		c.CountCall("store", "start")
+		c.CountCall("origin", "chunk")
+		Expect(c.Snapshot().Calls).To(Equal(map[string]int64{"store start": 2, "origin chunk": 1}))
 	})
 
 	It("logs what it has counted, again and again", func() {
 		var b bytes.Buffer
 		p := &Part{Counter: counter(), every: leastLog, log: &log.Logger{Writer: &log.IOWriter{Writer: &b}}}
-		p.Datagram(Reports, "c", 7)
+		p.CountDatagram(Reports, "c", 7)
 		ctx, stop := context.WithTimeout(context.Background(), leastLog*5/2)
 		defer stop()
 		Expect(p.Run(ctx)).To(Succeed())
 		Expect(strings.Count(b.String(), "\n")).To(BeNumerically(">=", 2))
-		var a Account
+		var a Totals
 		Expect(a.Read(&b)).To(Succeed())
 		a.Sum()
 		Expect(a.Processes).To(Equal(1))
-		Expect(a.Rows).To(Equal([]Row{{Kind: "reports", By: map[string]Count{"other region": {Number: 1, Sent: 7}}}}))
+		Expect(a.Rows).To(Equal([]Row{{Kind: "reports", ByDistance: map[string]Count{"other region": {Number: 1, Sent: 7}}}}))
 	})
 })
 
@@ -143,35 +143,35 @@
 var _ = Describe("the account of several processes", func() {
 	sent := func(life string, uptime, bytes int64) Snapshot {
 		return Snapshot{
-			Life: life, UptimeMs: uptime, Kinds: map[string]map[string]Count{"chunks": {"near": {Number: 1, Sent: bytes, Got: 1}}},
+			Incarnation: life, UptimeMs: uptime, Kinds: map[string]map[string]Count{"chunks": {"near": {Number: 1, Sent: bytes, Received: 1}}},
 			Calls: map[string]int64{"origin chunk": bytes},
 		}
 	}
 
 	It("takes the newest counts of each start, in any order, and passes over all else", func() {
-		var a Account
+		var a Totals
 		Expect(a.Read(strings.NewReader("no line\n" + logged(sent("x", 20, 50)) + logged(sent("x", 10, 20)) +
 			`{"message":"request","why":"traffic"}` + "\n" + logged(sent("y", 5, 7))))).To(Succeed())
 		a.Sum()
 		Expect(a.Processes).To(Equal(2))
-		Expect(a.Rows).To(Equal([]Row{{Kind: "chunks", By: map[string]Count{"near": {Number: 2, Sent: 57, Got: 2}}}}))
+		Expect(a.Rows).To(Equal([]Row{{Kind: "chunks", ByDistance: map[string]Count{"near": {Number: 2, Sent: 57, Received: 2}}}}))
 		Expect(a.Rows[0].Bytes("near")).To(Equal(int64(59)))
 		Expect(a.Calls).To(Equal(map[string]int64{"origin chunk": 57}))
 	})
 
 	It("reads metrics as they are served", func() {
 		c := counter()
-		c.Datagram(Reports, "c", 7)
-		var a Account
+		c.CountDatagram(Reports, "c", 7)
+		var a Totals
 		Expect(a.Read(strings.NewReader("{\n\"springrail\": {\"traffic\": " + c.String() + "},\n\"cmdline\": []\n}\n"))).To(Succeed())
 		a.Sum()
-		Expect(a.Rows[0].By["other region"].Sent).To(Equal(int64(7)))
+		Expect(a.Rows[0].ByDistance["other region"].Sent).To(Equal(int64(7)))
 		Expect(a.Read(strings.NewReader("{\n\"springrail\": {}\n}\n"))).NotTo(Succeed())
 		Expect(a.Read(strings.NewReader("{\nbroken"))).NotTo(Succeed())
 	})
 
 	It("is two tables, or a hint where nothing was counted", func() {
-		var a Account
+		var a Totals
 		a.Sum()
 		var b bytes.Buffer
 		Expect(a.Text(&b)).To(Succeed())
@@ -196,14 +196,14 @@
 				}
 				want += total
 			}
-			var a Account
+			var a Totals
 			if err := a.Read(strings.NewReader(text.String())); err != nil {
 				t.Fatal(err)
 			}
 			a.Sum()
 			got := int64(0)
 			for i := range a.Rows {
-				got += a.Rows[i].By["near"].Sent
+				got += a.Rows[i].ByDistance["near"].Sent
 			}
 			if got != want {
 				t.Fatalf("%d bytes of %d", got, want)
