--- a/internal/cmd/cmd_losses.go
+++ b/internal/cmd/cmd_losses.go
@@ -30,7 +30,7 @@
 			if err := readInputs(*files, openFile, l.Read); err != nil {
 				return err
 			}
-			a, err := l.Account(*span)
+			a, err := l.Summarise(*span)
 			if err != nil {
 				return err
 			}
--- a/internal/losses/line.go
+++ b/internal/losses/line.go
@@ -40,8 +40,8 @@
 type Log struct {
 	requests []line
 	events   []line
-	// Other counts lines that are no log lines of the processes, and Dropped those that the processes say they dropped.
-	Other, Dropped int
+	// OtherLines counts lines that are no log lines of the processes, and DroppedLines those that the processes say they dropped.
+	OtherLines, DroppedLines int
 }
 
 // Read adds the lines of a process, or of several. A line may have a prefix before its first brace, such as a
@@ -58,15 +58,15 @@
 func (l *Log) add(b []byte) {
 	at := bytes.IndexByte(b, '{')
 	if at < 0 {
-		l.Other++
+		l.OtherLines++
 		return
 	}
 	var v line
 	if err := json.Unmarshal(b[at:], &v); err != nil || v.Message == "" {
-		l.Other++
+		l.OtherLines++
 		return
 	}
-	l.Dropped += v.Lines
+	l.DroppedLines += v.Lines
 	switch {
 	case v.Message == "request" && !v.Time.IsZero():
 		l.requests = append(l.requests, v)
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -38,8 +38,8 @@
 }
 
 // account makes the account of a log's text by seconds.
-func account(text string) *Account {
-	a, err := read(text).Account(time.Second)
+func account(text string) *Summary {
+	a, err := read(text).Summarise(time.Second)
 	Expect(err).NotTo(HaveOccurred())
 	return a
 }
@@ -52,7 +52,7 @@
 		Expect(a.All.Causes).To(Equal(map[string]int{"in time": 1, "late": 1, "no upstream: over": 1, "caller left": 1}))
 		Expect(a.Spans).To(HaveLen(2))
 		Expect(a.Spans[0].Causes).To(Equal(map[string]int{"in time": 1, "late": 1}))
-		Expect(a.Spans[1].Beside).To(Equal(map[string]int{"loading m@2": 1}))
+		Expect(a.Spans[1].Events).To(Equal(map[string]int{"loading m@2": 1}))
 		Expect(a.Domains[0].Name).To(Equal("b"))
 		Expect(a.Domains[0].Requests).To(Equal(3))
 		Expect(a.Organisations).To(HaveLen(2))
@@ -86,8 +86,8 @@
 	})
 
 	It("refuses logs whose times lie years apart, rather than filling the memory", func() {
-		_, err := read(sample + strings.ReplaceAll(sample, "2026", "1970")).Account(time.Second)
-		Expect(err).To(MatchError(ErrSpans))
+		_, err := read(sample + strings.ReplaceAll(sample, "2026", "1970")).Summarise(time.Second)
+		Expect(err).To(MatchError(ErrTooManySpans))
 	})
 
 	It("draws a plot", func() {
--- a/internal/losses/plot.go
+++ b/internal/losses/plot.go
@@ -23,7 +23,7 @@
 )
 
 // Plot draws what became of the requests of each span as stacked bars. The ending of the file's name says its form.
-func (a *Account) Plot(file string) error {
+func (a *Summary) Plot(file string) error {
 	if a.All.Requests == 0 {
 		return trace.BadParameter("there is no request to draw")
 	}
@@ -53,7 +53,7 @@
 }
 
 // plotted lists the causes that have a colour, in-time answers first.
-func (a *Account) plotted() []string {
+func (a *Summary) plotted() []string {
 	l := []string{causeInTime}
 	for _, c := range a.Causes {
 		if c != causeInTime && len(l) < plotCauses {
@@ -67,7 +67,7 @@
 }
 
 // heights are the counts of a cause by span.
-func (a *Account) heights(cause string) plotter.Values {
+func (a *Summary) heights(cause string) plotter.Values {
 	drawn := map[string]bool{}
 	for _, c := range a.plotted() {
 		drawn[c] = true
@@ -84,7 +84,7 @@
 }
 
 // ticks marks about every tenth part of the time, in seconds.
-func (a *Account) ticks(_, _ float64) []plot.Tick {
+func (a *Summary) ticks(_, _ float64) []plot.Tick {
 	const marks = 10
 	step := max(1, len(a.Spans)/marks)
 	var l []plot.Tick
--- a/internal/losses/table.go
+++ b/internal/losses/table.go
@@ -16,8 +16,8 @@
 	Requests int            `json:"requests"`
 	InTime   float64        `json:"in_time"`
 	Causes   map[string]int `json:"causes"`
-	// Beside are the events of the processes in a span, with how many processes logged each.
-	Beside map[string]int `json:"beside,omitempty"`
+	// Events are the events of the processes in a span, with how many processes logged each.
+	Events map[string]int `json:"beside,omitempty"`
 }
 
 func (r *Row) count(cause string) {
@@ -26,8 +26,8 @@
 	r.InTime = float64(r.Causes[causeInTime]) / float64(r.Requests)
 }
 
-// Account says what became of the requests of a log.
-type Account struct {
+// Summary says what became of the requests of a log.
+type Summary struct {
 	// Start is the time of the first request.
 	Start time.Time     `json:"start"`
 	Span  time.Duration `json:"span_ns"`
@@ -73,12 +73,12 @@
 // mostSpans bounds the rows by time: a day in seconds. A line whose clock is years off would else fill the memory.
 const mostSpans = 86_400
 
-// ErrSpans says that the logs cover more time than fits into the rows of a span's length.
-var ErrSpans = errors.New("the logs cover too much time for this span; take a longer one, or leave out logs of other days")
+// ErrTooManySpans says that the logs cover more time than fits into the rows of a span's length.
+var ErrTooManySpans = errors.New("the logs cover too much time for this span; take a longer one, or leave out logs of other days")
 
-// Account makes the account in spans of a length. Without a request it has no rows.
-func (l *Log) Account(span time.Duration) (*Account, error) {
-	a := &Account{Span: span, Other: l.Other, Dropped: l.Dropped, All: Row{Name: "all", Causes: map[string]int{}}}
+// Summarise makes the account in spans of a length. Without a request it has no rows.
+func (l *Log) Summarise(span time.Duration) (*Summary, error) {
+	a := &Summary{Span: span, Other: l.OtherLines, Dropped: l.DroppedLines, All: Row{Name: "all", Causes: map[string]int{}}}
 	if len(l.requests) == 0 {
 		return a, nil
 	}
@@ -94,10 +94,10 @@
 		}
 	}
 	if last.Sub(a.Start)/span >= mostSpans {
-		return nil, trace.Wrap(ErrSpans, "from %v to %v", a.Start, last)
+		return nil, trace.Wrap(ErrTooManySpans, "from %v to %v", a.Start, last)
 	}
 	for i := range int(last.Sub(a.Start)/span) + 1 {
-		a.Spans = append(a.Spans, Row{Name: (time.Duration(i) * span).String(), Causes: map[string]int{}, Beside: map[string]int{}})
+		a.Spans = append(a.Spans, Row{Name: (time.Duration(i) * span).String(), Causes: map[string]int{}, Events: map[string]int{}})
 	}
 	domains, routes, organisations := group{}, group{}, group{}
 	for i := range l.requests {
@@ -112,7 +112,7 @@
 	for i := range l.events {
 		v := &l.events[i]
 		if !v.Time.Before(a.Start) && !v.Time.After(last) {
-			a.Spans[v.Time.Sub(a.Start)/span].Beside[v.milestone()]++
+			a.Spans[v.Time.Sub(a.Start)/span].Events[v.milestone()]++
 		}
 	}
 	a.Domains, a.Routes, a.Organisations = domains.worst(), routes.worst(), organisations.worst()
--- a/internal/losses/text.go
+++ b/internal/losses/text.go
@@ -9,7 +9,7 @@
 )
 
 // Text writes the account as tables. Of the groups at most a number of rows are shown, the worst first.
-func (a *Account) Text(w io.Writer, most int) error {
+func (a *Summary) Text(w io.Writer, most int) error {
 	if a.All.Requests == 0 {
 		_, err := fmt.Fprintf(w, "no request in the logs; lines of other kinds: %d\n", a.Other)
 		return err
@@ -29,7 +29,7 @@
 	fmt.Fprintf(w, "\n%s\trequests\tin time\tlost\tbeside\n", head)
 	for i := range l[:min(most, len(l))] {
 		v := &l[i]
-		fmt.Fprintf(w, "%s\t%d\t%.1f%%\t%s\t%s\n", v.Name, v.Requests, 100*v.InTime, list(v.Causes, causeInTime), list(v.Beside, ""))
+		fmt.Fprintf(w, "%s\t%d\t%.1f%%\t%s\t%s\n", v.Name, v.Requests, 100*v.InTime, list(v.Causes, causeInTime), list(v.Events, ""))
 	}
 	if len(l) > most {
 		fmt.Fprintf(w, "and %d more\t\t\t\t\n", len(l)-most)
