--- a/internal/cmd/daemon.go
+++ b/internal/cmd/daemon.go
@@ -24,7 +24,7 @@
 	ExitUsage        = 2
 	ExitNotFound     = 3
 	ExitRefused      = 4
-	ExitUnknown      = 5
+	ExitOutcomeUnknown      = 5
 	ExitUnreachable  = 6
 	ExitUnauthorised = 7
 )
--- a/internal/cmd/operator.go
+++ b/internal/cmd/operator.go
@@ -179,7 +179,7 @@
 	case connect.CodeInvalidArgument:
 		return e.say(ExitUsage, c.Message(), "")
 	case connect.CodeDeadlineExceeded:
-		return e.say(ExitUnknown, c.Message(), "; ask with: springrail change get")
+		return e.say(ExitOutcomeUnknown, c.Message(), "; ask with: springrail change get")
 	case connect.CodeUnavailable:
 		return e.say(ExitUnreachable, c.Message(), "; is --server an entry's operator listener?")
 	default:
