--- a/internal/cmd/daemon.go
+++ b/internal/cmd/daemon.go
@@ -19,14 +19,14 @@
 
 // The exit codes of all programs.
 const (
-	ExitDone         = 0
-	ExitFailed       = 1
-	ExitUsage        = 2
-	ExitNotFound     = 3
-	ExitRefused      = 4
-	ExitUnknown      = 5
-	ExitUnreachable  = 6
-	ExitUnauthorised = 7
+	ExitDone           = 0
+	ExitFailed         = 1
+	ExitUsage          = 2
+	ExitNotFound       = 3
+	ExitRefused        = 4
+	ExitOutcomeUnknown = 5
+	ExitUnreachable    = 6
+	ExitUnauthorised   = 7
 )
 
 // Version is the release.
