--- a/internal/callerapi/part.go
+++ b/internal/callerapi/part.go
@@ -88,8 +88,8 @@
 	}
 	c := h.Part(configlog.PartName).(*configlog.Part)
 	counters := newMetrics()
-	h.AddMetric("requests", counters.outcomes)
-	h.AddMetric("request_ms", expvar.Func(counters.quantiles))
+	h.Metric("requests", counters.outcomes)
+	h.Metric("request_ms", expvar.Func(counters.quantiles))
 	return &Part{
 		metrics:  counters,
 		settings: s, listener: l, host: h, state: c.State, ready: c.Ready,
--- a/internal/cmd/daemon.go
+++ b/internal/cmd/daemon.go
@@ -78,7 +78,7 @@
 		fmt.Fprintf(os.Stderr, "%s: can't start: %v\n", name, err)
 		return ExitFailed
 	}
-	h.AddMetric("log_lines_dropped", sink.Dropped)
+	h.Metric("log_lines_dropped", sink.Dropped)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	go watchReload(ctx, l, file, parts, sections)
--- a/internal/configlog/part.go
+++ b/internal/configlog/part.go
@@ -66,7 +66,7 @@
 	s := NewStore(h.Clock.Observe)
 	c := &Part{Store: s, host: h, settings: h.Section("config_log").(*Settings), platform: p}
 	c.ChangeWriter = NewChangeWriter(s, p.Append)
-	h.AddMetric("config_offset", expvar.Func(func() any { return s.State().Offset() }))
+	h.Metric("config_offset", expvar.Func(func() any { return s.State().Offset() }))
 	c.tail = NewTail(s, h.Log, p.Read, c.readFromPeers)
 	return c, nil
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -61,7 +61,7 @@
 			}
 			f := New(self, s.Entries, r, h.Part(platform.PartName).(*platform.Client).ListVMs,
 				h.Clock.Observe, h.Log)
-			h.AddMetric("config_offset", expvar.Func(func() any { return f.State().Offset() }))
+			h.Metric("config_offset", expvar.Func(func() any { return f.State().Offset() }))
 			return f, nil
 		},
 	})
--- a/internal/gateway/part.go
+++ b/internal/gateway/part.go
@@ -130,8 +130,8 @@
 	g := New(s, d, h.Part(facts.PartName).(*facts.Facts), loadSources, q, connect, h.Identity.Domain, h.Log)
 	g.listener = l
 	h.Part(rpc.PartName).(*rpc.Server).Handle(springrailv1connect.NewLimitServiceHandler(g))
-	h.AddMetric("requests", g.metrics.vars)
-	h.AddMetric("in_flight", expvar.Func(func() any { return g.inFlight.Load() }))
+	h.Metric("requests", g.metrics.vars)
+	h.Metric("in_flight", expvar.Func(func() any { return g.inFlight.Load() }))
 	return g, nil
 }
 
--- a/internal/kernel/host.go
+++ b/internal/kernel/host.go
@@ -114,13 +114,13 @@
 	return h.partsByName[name]
 }
 
-// AddMetric registers a metric. Metrics belong to the host and not to the global expvar map, so that several hosts can run
+// Metric registers a metric. Metrics belong to the host and not to the global expvar map, so that several hosts can run
 // in one operating system process.
-func (h *Host) AddMetric(name string, v expvar.Var) {
+func (h *Host) Metric(name string, v expvar.Var) {
 	h.metrics.Set(name, v)
 }
 
-// Metrics returns the metrics registered with AddMetric.
+// Metrics returns the metrics registered with Metric.
 func (h *Host) Metrics() *expvar.Map {
 	return h.metrics
 }
--- a/internal/quarantine/part.go
+++ b/internal/quarantine/part.go
@@ -20,7 +20,7 @@
 			p := h.Part(records.PlatformPartName).(*records.Platform)
 			q := New(NewSuspectTracker(h.Identity.VM, clock.Now, h.Log), h.Part(reports.SubscriberPart).(*reports.Subscriber), p)
 			h.Part(rpc.PartName).(*rpc.Server).Handle(springrailv1connect.NewQuarantineServiceHandler(q))
-			h.AddMetric("quarantine", q.Suspects.vars)
+			h.Metric("quarantine", q.Suspects.vars)
 			return q, nil
 		},
 	})
--- a/internal/records/part.go
+++ b/internal/records/part.go
@@ -76,7 +76,7 @@
 			for _, one := range s.readers {
 				one.onRequest = func(reason string) { t.CountCall("reading of "+one.log.topic.Name, reason) }
 			}
-			h.AddMetric("records", s.follower.metrics)
+			h.Metric("records", s.follower.metrics)
 			return s, nil
 		},
 	})
--- a/internal/reports/reporter.go
+++ b/internal/reports/reporter.go
@@ -45,7 +45,7 @@
 			r := NewReporter(conn, h.Identity.Domain, h.Part(facts.PartName).(*facts.Facts), clock.Now, h.Log)
 			c := h.Part(traffic.PartName).(*traffic.Part).Counter
 			r.onSent = func(to id.Domain, bytes int) { c.CountDatagram(traffic.Reports, to, bytes) }
-			h.AddMetric("reports", r.vars)
+			h.Metric("reports", r.vars)
 			return r, nil
 		},
 	})
--- a/internal/reports/subscriber.go
+++ b/internal/reports/subscriber.go
@@ -69,7 +69,7 @@
 			r := NewSubscriber(c, s.Port, h.Identity.Domain, h.Part(facts.PartName).(*facts.Facts), clock.Now, h.Log)
 			t := h.Part(traffic.PartName).(*traffic.Part).Counter
 			r.onSent = func(to id.Domain, bytes int) { t.CountDatagram(traffic.Subscriptions, to, bytes) }
-			h.AddMetric("reports", r.vars)
+			h.Metric("reports", r.vars)
 			return r, nil
 		},
 	})
--- a/internal/stager/part.go
+++ b/internal/stager/part.go
@@ -112,8 +112,8 @@
 	u.SlowAfter = slowUploadThreshold
 	u.Register(r.Handle)
 	r.Handle(springrailv1connect.NewSwarmServiceHandler(u))
-	h.AddMetric("swarm", expvar.Func(func() any { return g.stats.Read() }))
-	h.AddMetric("orders", g.orders)
+	h.Metric("swarm", expvar.Func(func() any { return g.stats.Read() }))
+	h.Metric("orders", g.orders)
 	return g
 }
 
--- a/internal/traffic/account.go
+++ b/internal/traffic/account.go
@@ -25,8 +25,8 @@
 
 // Row is a kind of traffic.
 type Row struct {
-	Kind string           `json:"kind"`
-	ByDistance   map[string]Count `json:"by"`
+	Kind       string           `json:"kind"`
+	ByDistance map[string]Count `json:"by"`
 }
 
 // Bytes are what went both ways at a distance.
--- a/internal/traffic/part.go
+++ b/internal/traffic/part.go
@@ -53,7 +53,7 @@
 			p := &Part{
 				Counter: New(h.Identity.Domain, regions, domains(f, h.Identity.Domain), time.Now), every: s.LogEvery, log: h.Log,
 			}
-			h.AddMetric(SnapshotKey, p.Counter)
+			h.Metric(SnapshotKey, p.Counter)
 			return p, nil
 		},
 	})
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -137,18 +137,18 @@
 
 // Count is what was counted of a kind and distance: datagrams or connections, and bytes.
 type Count struct {
-	Number int64 `json:"number"`
-	Sent   int64 `json:"sent"`
-	Received    int64 `json:"got"`
+	Number   int64 `json:"number"`
+	Sent     int64 `json:"sent"`
+	Received int64 `json:"got"`
 }
 
 // Snapshot is what a process has counted since its start.
 type Snapshot struct {
 	// Incarnation tells the process from an earlier one on its VM.
-	Incarnation     string                      `json:"life"`
-	UptimeMs int64                       `json:"uptime_ms"`
-	Kinds    map[string]map[string]Count `json:"kinds"`
-	Calls    map[string]int64            `json:"calls"`
+	Incarnation string                      `json:"life"`
+	UptimeMs    int64                       `json:"uptime_ms"`
+	Kinds       map[string]map[string]Count `json:"kinds"`
+	Calls       map[string]int64            `json:"calls"`
 }
 
 // Snapshot returns what has been counted; kinds and distances without anything are left out.
--- a/internal/transfer/part.go
+++ b/internal/transfer/part.go
@@ -121,8 +121,8 @@
 	if s.UplinkBytesPerSecond > 0 {
 		pace = rate.NewLimiter(rate.Limit(s.UplinkBytesPerSecond), writeSize)
 	}
-	h.AddMetric("swarm", expvar.Func(func() any { return m.Counters() }))
-	h.AddMetric("swarm_memory_bytes", expvar.Func(func() any { return m.MemoryUsed() }))
+	h.Metric("swarm", expvar.Func(func() any { return m.Counters() }))
+	h.Metric("swarm_memory_bytes", expvar.Func(func() any { return m.MemoryUsed() }))
 	u := NewUploads(m.holdings, s.Uploads, pace, &m.stats)
 	u.Register(r.Handle)
 	r.Handle(springrailv1connect.NewSwarmServiceHandler(u))
