--- a/internal/spread/gossip.go
+++ b/internal/spread/gossip.go
@@ -18,8 +18,8 @@
 	requestTimeout = 2 * time.Second
 	// statusRetention is how long the statuses of an entry that no longer responds are kept.
 	statusRetention = time.Minute
-	// livenessInterval is the interval at which an entry advances its version in the gossip table, which shows that it
-	// is alive.
+	// livenessInterval is the interval at which an entry marks unresponsive agents and refreshes its status in the
+	// table, which shows other entries that it is alive.
 	livenessInterval = time.Second
 )
 
--- a/internal/stager/work.go
+++ b/internal/stager/work.go
@@ -135,16 +135,17 @@
 	return s.waitForChange(ctx, g)
 }
 
-// finishThreshold is the share of a superseded version that neighbours must hold for its download to continue: the rest
-// then takes less time than the newer version, whose first chunks have to come from the origin.
+// finishThreshold is the share of a superseded version that this VM and its neighbours must hold for its download to
+// continue: the rest then takes less time than the newer version, whose first chunks have to come from the origin.
 const finishThreshold = 0.5
 
 // finishPollInterval is the interval of checks whether a superseded version is still worth finishing.
 const finishPollInterval = 100 * time.Millisecond
 
-// watchForSuccessor cancels a deployment once a newer version is published, unless neighbours hold most of this one. In
-// that case the newer one is fetched in parallel and the swap schedule decides whether this one is still loaded: nothing
-// else could serve between the end of the old version's servable time and the end of the newer one's transfer.
+// watchForSuccessor cancels a deployment once a newer version is published, unless this VM and its neighbours hold most
+// of this one. In that case the newer one is fetched in parallel and the swap schedule decides whether this one is still
+// loaded: nothing else could serve between the end of the old version's servable time and the end of the newer one's
+// transfer.
 func (s *Stager) watchForSuccessor(ctx context.Context, g *targetVersion, cancel context.CancelCauseFunc) {
 	for ctx.Err() == nil {
 		changed := s.facts.Changed()
