--- a/internal/standin/batch.go
+++ b/internal/standin/batch.go
@@ -12,17 +12,17 @@
 	"github.com/springrail/springrail/internal/engine"
 )
 
-// sequence is one request in the engine.
+// sequence is one request that the engine decodes.
 type sequence struct {
-	priority int
-	prefix   string
-	prefill  int
-	left     int
-	tokens   chan int
-	ctx      context.Context
+	priority  int
+	prefix    string
+	prefill   int
+	remaining int
+	tokens    chan int
+	ctx       context.Context
 }
 
-// batch decodes sequences together, one token each per step, and reads prompts in between.
+// batch runs continuous batching: running sequences get one token each per step, and prompts are prefilled in between.
 type batch struct {
 	settings EngineSettings
 	mu       sync.Mutex
@@ -34,7 +34,7 @@
 	reports  []loadReport
 }
 
-// cacheEvent tells of a prefix that came into or left the cache.
+// cacheEvent reports a prompt prefix that was added to or evicted from the cache.
 type cacheEvent struct {
 	Number  int    `json:"number"`
 	Prefix  string `json:"prefix"`
@@ -57,7 +57,7 @@
 	b.stuck = on
 }
 
-// add queues a sequence by priority. A cached prefix needs no reading of the prompt.
+// add queues a sequence by priority. A sequence whose prefix is cached skips the prefill.
 func (b *batch) add(s *sequence) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,7 +65,7 @@
 		s.prefill = 0
 		b.cache = append(slices.Delete(b.cache, i, i+1), s.prefix)
 	} else {
-		b.remember(s.prefix)
+		b.cachePrefix(s.prefix)
 	}
 	at := len(b.queue)
 	for at > 0 && b.queue[at-1].priority < s.priority {
@@ -74,29 +74,30 @@
 	b.queue = slices.Insert(b.queue, at, s)
 }
 
-func (b *batch) remember(prefix string) {
+func (b *batch) cachePrefix(prefix string) {
 	b.cache = append(b.cache, prefix)
-	b.note(cacheEvent{Prefix: prefix})
+	b.recordEvent(cacheEvent{Prefix: prefix})
 	if len(b.cache) > b.settings.CachePrefixes {
-		b.note(cacheEvent{Prefix: b.cache[0], Evicted: true})
+		b.recordEvent(cacheEvent{Prefix: b.cache[0], Evicted: true})
 		b.cache = b.cache[1:]
 	}
 }
 
-// note keeps the newest events; older ones are gone, as with real engines.
-func (b *batch) note(e cacheEvent) {
-	const kept = 1024
+// recordEvent appends a cache event and discards the oldest ones beyond the limit, as real engines do.
+func (b *batch) recordEvent(e cacheEvent) {
+	const maxEvents = 1024
 	e.at = time.Now()
 	if len(b.events) > 0 {
 		e.Number = b.events[len(b.events)-1].Number + 1
 	}
 	b.events = append(b.events, e)
-	if len(b.events) > kept {
+	if len(b.events) > maxEvents {
 		b.events = b.events[1:]
 	}
 }
 
-// run steps until the context ends. While nothing runs it looks for work ten times as often, as an idle engine does.
+// run executes steps until the context ends. An idle batch polls for work ten times per step time, as an idle engine
+// does.
 func (b *batch) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause := b.settings.Step
@@ -110,11 +111,11 @@
 	}
 }
 
-// step gives each running sequence a token and says whether any ran.
+// step produces one token for each running sequence and reports whether any sequence is running.
 func (b *batch) step() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.report()
+	b.recordLoad()
 	if b.stuck {
 		return true
 	}
@@ -134,17 +135,17 @@
 			prefill -= n
 			return false
 		}
-		s.left--
-		s.tokens <- s.left
-		if s.left == 0 {
+		s.remaining--
+		s.tokens <- s.remaining
+		if s.remaining == 0 {
 			close(s.tokens)
 		}
-		return s.left == 0
+		return s.remaining == 0
 	})
 	return len(b.running) > 0
 }
 
-func (b *batch) report() {
+func (b *batch) recordLoad() {
 	now := time.Now()
 	b.reports = append(b.reports, loadReport{at: now, load: engine.Load{
 		Running: len(b.running), Queued: len(b.queue), Capacity: b.settings.Batch,
@@ -154,7 +155,7 @@
 	}
 }
 
-func (b *batch) laggingLoad() engine.Load {
+func (b *batch) delayedLoad() engine.Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.reports) == 0 {
@@ -176,7 +177,7 @@
 	writeJSON(w, l)
 }
 
-// handleExport and handleImport move the cached prefixes, which stand for the KV cache.
+// handleExport and handleImport transfer the cached prefixes, which represent the KV cache.
 func (b *batch) handleExport(w http.ResponseWriter, _ *http.Request) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -193,7 +194,7 @@
 	defer b.mu.Unlock()
 	for _, p := range l {
 		if !slices.Contains(b.cache, p) {
-			b.remember(p)
+			b.cachePrefix(p)
 		}
 	}
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/standin/chat.go
+++ b/internal/standin/chat.go
@@ -14,24 +14,24 @@
 const (
 	defaultTokens = 16
 	maxTokens     = 4096
-	// bytesPerToken is the usual length of a prompt's token.
+	// bytesPerToken is the average size of a prompt token.
 	bytesPerToken = 4
-	// prefixBytes is the part of a prompt that the cache looks at.
+	// prefixBytes is the length of the prompt prefix that the cache compares.
 	prefixBytes = 512
 )
 
-// chatRequest is a chat completion as model clients send it.
+// chatRequest is the body of a chat completion request.
 type chatRequest struct {
 	Model     string          `json:"model"`
 	Stream    bool            `json:"stream"`
 	MaxTokens int             `json:"max_tokens"`
 	Priority  int             `json:"priority"`
 	Messages  json.RawMessage `json:"messages"`
-	// ResumeFrom is the number of tokens that the caller has of a stream that was cut.
+	// ResumeFrom is the number of tokens that the caller received before its stream was cut.
 	ResumeFrom int `json:"resume_from"`
 }
 
-// chatAnswer is a chunk of a stream or a whole answer.
+// chatAnswer is one chunk of a streamed completion, or a complete completion.
 type chatAnswer struct {
 	ID                string       `json:"id"`
 	Object            string       `json:"object"`
@@ -82,30 +82,30 @@
 	w.Header().Set("X-Model-Version", version)
 	s := &sequence{
 		priority: c.Priority, prefix: string(c.Messages[:min(prefixBytes, len(c.Messages))]),
-		prefill: len(c.Messages) / bytesPerToken, left: c.MaxTokens - c.ResumeFrom,
+		prefill: len(c.Messages) / bytesPerToken, remaining: c.MaxTokens - c.ResumeFrom,
 		tokens: make(chan int, c.MaxTokens), ctx: r.Context(),
 	}
-	if s.left <= 0 {
+	if s.remaining <= 0 {
 		http.Error(w, "nothing left to resume", http.StatusBadRequest)
 		return
 	}
 	e.batch.add(s)
-	e.count(requestID)
+	e.countRun(requestID)
 	a := chatAnswer{ID: requestID, Model: c.Model, SystemFingerprint: version}
 	if c.Stream {
 		e.stream(w, s, a, c, f.CutStreams)
 		return
 	}
-	e.whole(w, s, a, c)
+	e.respond(w, s, a, c)
 }
 
-func (e *Engine) count(requestID string) {
+func (e *Engine) countRun(requestID string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stats.Runs[requestID]++
 }
 
-// token is the text of a token; it names the version, so that an answer from mixed weights would show.
+// token returns the text of a token. It contains the version, so that an answer from mixed weights can be detected.
 func (e *Engine) token(n int, version string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -113,7 +113,7 @@
 	return fmt.Sprintf("%s:%d ", version, n)
 }
 
-func (e *Engine) whole(w http.ResponseWriter, s *sequence, a chatAnswer, c chatRequest) {
+func (e *Engine) respond(w http.ResponseWriter, s *sequence, a chatAnswer, c chatRequest) {
 	var text strings.Builder
 	for left := range s.tokens {
 		text.WriteString(e.token(c.MaxTokens-left, a.SystemFingerprint))
@@ -128,7 +128,7 @@
 	writeJSON(w, a)
 }
 
-func (e *Engine) stream(w http.ResponseWriter, s *sequence, a chatAnswer, c chatRequest, cutShort bool) {
+func (e *Engine) stream(w http.ResponseWriter, s *sequence, a chatAnswer, c chatRequest, abortEarly bool) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	a.Object = "chat.completion.chunk"
 	flush := http.NewResponseController(w).Flush
@@ -139,8 +139,8 @@
 			return
 		}
 		_ = flush()
-		if cutShort {
-			cut()
+		if abortEarly {
+			abortConnection()
 		}
 	}
 	if s.ctx.Err() == nil {
--- a/internal/standin/keyed.go
+++ b/internal/standin/keyed.go
@@ -13,94 +13,94 @@
 	"time"
 )
 
-// KeyedFaults are the faults of a door to the store.
+// KeyedFaults selects the faults of one caller's endpoint of the store.
 type KeyedFaults struct {
-	// Status, where above 0, answers every call.
+	// Status is the HTTP status that answers every call; 0 disables it.
 	Status int `json:"status"`
-	// Silent gives no answer at all.
+	// Silent leaves every call without an answer.
 	Silent bool `json:"silent"`
-	// DelayMs is added to every call.
+	// DelayMs is the delay in milliseconds that is added to every call.
 	DelayMs int `json:"delay_ms"`
 }
 
-// keyedRecord is a record of a keyed topic; a nil value drops the key.
+// keyedRecord is a record of a keyed topic; a nil value is a tombstone that deletes the key.
 type keyedRecord struct {
 	key   string
 	value []byte
 }
 
-// keyedTopic is a topic's log; first is the oldest offset that may still be read.
+// keyedTopic is the log of a topic; firstOffset is the oldest offset that can still be read.
 type keyedTopic struct {
-	records []keyedRecord
-	first   int
+	records     []keyedRecord
+	firstOffset int
 }
 
-// KeyedStore plays the metadata store of the users' platform as far as springrail uses it: keyed topics of one partition,
-// read by offset or by key, and appended to.
+// KeyedStore simulates the part of the platform's metadata store that springrail uses: keyed topics with one partition
+// each, which are appended to and read by offset or by key.
 type KeyedStore struct {
-	mu     sync.Mutex
-	topics map[string]*keyedTopic
-	change chan struct{}
-	// era is the number of times that the store has come back from a copy.
+	mu      sync.Mutex
+	topics  map[string]*keyedTopic
+	changed chan struct{}
+	// era is the store epoch: the number of times that the store was restored from a snapshot.
 	era int
 }
 
-// NewKeyedStore makes an empty store.
+// NewKeyedStore returns an empty store.
 func NewKeyedStore() *KeyedStore {
-	return &KeyedStore{topics: map[string]*keyedTopic{}, change: make(chan struct{})}
+	return &KeyedStore{topics: map[string]*keyedTopic{}, changed: make(chan struct{})}
 }
 
-// Put appends a record; a nil value drops the key.
+// Put appends a record; a nil value deletes the key.
 func (s *KeyedStore) Put(topic, key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(topic)
 	t.records = append(t.records, keyedRecord{key: key, value: value})
-	close(s.change)
-	s.change = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// TruncateHistory drops the history of a topic: what has been written can be read by key only.
+// TruncateHistory discards the readable log of a topic: existing records can be read by key only.
 func (s *KeyedStore) TruncateHistory(topic string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t := s.topic(topic)
-	t.first = len(t.records)
+	t.firstOffset = len(t.records)
 }
 
-// KeyedSnapshot is what a store held at a moment.
+// KeyedSnapshot is the content of a store at one point in time.
 type KeyedSnapshot map[string]keyedTopic
 
-// Snapshot returns what the store holds now.
+// Snapshot returns the current content of the store.
 func (s *KeyedStore) Snapshot() KeyedSnapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := KeyedSnapshot{}
 	for name, t := range s.topics {
-		c[name] = keyedTopic{records: slices.Clone(t.records), first: t.first}
+		c[name] = keyedTopic{records: slices.Clone(t.records), firstOffset: t.firstOffset}
 	}
 	return c
 }
 
-// Restore has the store come back from a copy: what was written since is gone, and the next records get its offsets. Those
-// that are written again are there with the return.
-func (s *KeyedStore) Restore(c KeyedSnapshot, again ...KeyedWrite) {
+// Restore replaces the content of the store with a snapshot and starts a new store epoch. Records written since the
+// snapshot are lost and their offsets are reused; the rewritten records are appended in the same step.
+func (s *KeyedStore) Restore(c KeyedSnapshot, rewritten ...KeyedWrite) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.topics = map[string]*keyedTopic{}
 	for name, t := range c {
-		s.topics[name] = &keyedTopic{records: slices.Clone(t.records), first: t.first}
+		s.topics[name] = &keyedTopic{records: slices.Clone(t.records), firstOffset: t.firstOffset}
 	}
-	for _, w := range again {
+	for _, w := range rewritten {
 		t := s.topic(w.Topic)
 		t.records = append(t.records, keyedRecord{key: w.Key, value: w.Value})
 	}
 	s.era++
-	close(s.change)
-	s.change = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
-// Keys lists the keys of a topic that have a value.
+// Keys returns the sorted keys of a topic that have a value.
 func (s *KeyedStore) Keys(topic string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,18 +112,18 @@
 	return slices.Sorted(maps.Keys(last))
 }
 
-// KeyedWrite is a record to be written; a nil value drops the key.
+// KeyedWrite is a record to be written; a nil value deletes the key.
 type KeyedWrite struct {
 	Topic, Key string
 	Value      []byte
 }
 
-// nameEra writes the era into an answer; the caller holds the lock.
-func (s *KeyedStore) nameEra(h http.Header) {
+// setEraHeader writes the store epoch into an answer's header. The caller holds the lock.
+func (s *KeyedStore) setEraHeader(h http.Header) {
 	h.Set("Store-Era", strconv.Itoa(s.era))
 }
 
-// topic returns a topic, which comes into being on its first use; the caller holds the lock.
+// topic returns a topic and creates it on first use. The caller holds the lock.
 func (s *KeyedStore) topic(name string) *keyedTopic {
 	t := s.topics[name]
 	if t == nil {
@@ -133,65 +133,66 @@
 	return t
 }
 
-// KeyedEndpoint is one caller's way to the store, with faults of its own: the store may turn some callers away.
+// KeyedEndpoint serves the store to one caller. It has separate faults, so that the store can refuse some callers and
+// serve others.
 type KeyedEndpoint struct {
-	store  *KeyedStore
-	mu     sync.Mutex
-	faults KeyedFaults
-	calls  int
+	store     *KeyedStore
+	mu        sync.Mutex
+	faults    KeyedFaults
+	callCount int
 }
 
-// NewEndpoint makes a way to the store without faults.
+// NewEndpoint returns an endpoint without faults.
 func (s *KeyedStore) NewEndpoint() *KeyedEndpoint {
 	return &KeyedEndpoint{store: s}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the simulated faults.
 func (d *KeyedEndpoint) SetFaults(f KeyedFaults) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults = f
 }
 
-// Calls is the number of calls that came.
+// Calls returns the number of calls received.
 func (d *KeyedEndpoint) Calls() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.calls
+	return d.callCount
 }
 
 // ServeHTTP implements http.Handler.
 func (d *KeyedEndpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
-	d.calls++
+	d.callCount++
 	f := d.faults
 	d.mu.Unlock()
 	time.Sleep(time.Duration(f.DelayMs) * time.Millisecond)
 	switch {
 	case f.Silent:
 		<-r.Context().Done()
-		cut()
+		abortConnection()
 	case f.Status > 0:
 		d.store.mu.Lock()
-		d.store.nameEra(w.Header())
+		d.store.setEraHeader(w.Header())
 		d.store.mu.Unlock()
 		w.WriteHeader(f.Status)
 	case r.URL.Path == "/v1/log-newest":
-		d.store.newest(w, r)
+		d.store.handleNewest(w, r)
 	case r.URL.Path == "/v1/log-read":
-		d.store.read(w, r)
+		d.store.handleRead(w, r)
 	case r.URL.Path == "/v1/log-append" && r.Method == http.MethodPost:
-		d.store.append(w, r)
+		d.store.handleAppend(w, r)
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-// newestPage is the most items of one answer.
-const newestPage = 500
+// maxPageItems is the maximum number of items per page.
+const maxPageItems = 500
 
-// newest answers with the newest record of each key, a page at a time.
-func (s *KeyedStore) newest(w http.ResponseWriter, r *http.Request) {
+// handleNewest answers with the newest record of each key, in pages.
+func (s *KeyedStore) handleNewest(w http.ResponseWriter, r *http.Request) {
 	type item struct {
 		Key    string `json:"tlsKey"`
 		Value  string `json:"value"`
@@ -204,7 +205,7 @@
 	}{Items: []item{}}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.nameEra(w.Header())
+	s.setEraHeader(w.Header())
 	t := s.topic(r.URL.Query().Get("topic"))
 	page.End = len(t.records)
 	newest := map[string]int{}
@@ -217,7 +218,7 @@
 		if key <= after && after != "" || t.records[i].value == nil {
 			continue
 		}
-		if len(page.Items) == newestPage {
+		if len(page.Items) == maxPageItems {
 			page.More = true
 			break
 		}
@@ -226,8 +227,8 @@
 	writeJSON(w, page)
 }
 
-// read answers with the records from an offset on, or waits for one.
-func (s *KeyedStore) read(w http.ResponseWriter, r *http.Request) {
+// handleRead answers with the records from an offset on. As a long poll, it waits for a record if there is none yet.
+func (s *KeyedStore) handleRead(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	from, err := strconv.Atoi(q.Get("from"))
 	if err != nil || from < 0 {
@@ -235,17 +236,17 @@
 		return
 	}
 	wait, _ := strconv.Atoi(q.Get("waitMs"))
-	over := time.After(time.Duration(wait) * time.Millisecond)
-	for ended := wait == 0; ; {
+	timeout := time.After(time.Duration(wait) * time.Millisecond)
+	for timedOut := wait == 0; ; {
 		s.mu.Lock()
-		t, change := s.topic(q.Get("topic")), s.change
-		s.nameEra(w.Header())
+		t, change := s.topic(q.Get("topic")), s.changed
+		s.setEraHeader(w.Header())
 		switch {
-		case from < t.first || from > len(t.records):
+		case from < t.firstOffset || from > len(t.records):
 			s.mu.Unlock()
 			w.WriteHeader(http.StatusGone)
 			return
-		case from < len(t.records) || ended:
+		case from < len(t.records) || timedOut:
 			raw := t.encode(from)
 			s.mu.Unlock()
 			_, _ = w.Write(raw)
@@ -255,15 +256,15 @@
 		select {
 		case <-r.Context().Done():
 			return
-		case <-over:
-			ended = true
+		case <-timeout:
+			timedOut = true
 		case <-change:
 		}
 	}
 }
 
-// append takes keyed records in the form that encode writes, without the offsets.
-func (s *KeyedStore) append(w http.ResponseWriter, r *http.Request) {
+// handleAppend appends keyed records. The body has the format that encode writes, without the leading offsets.
+func (s *KeyedStore) handleAppend(w http.ResponseWriter, r *http.Request) {
 	raw, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -275,14 +276,14 @@
 			return
 		}
 		n := 4 + int(binary.BigEndian.Uint32(raw))
-		one := raw[5:n]
-		if int(raw[4]) > len(one) {
+		payload := raw[5:n]
+		if int(raw[4]) > len(payload) {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		k := keyedRecord{key: string(one[:raw[4]])}
-		if len(one) > len(k.key) {
-			k.value = one[len(k.key):]
+		k := keyedRecord{key: string(payload[:raw[4]])}
+		if len(payload) > len(k.key) {
+			k.value = payload[len(k.key):]
 		}
 		l, raw = append(l, k), raw[n:]
 	}
@@ -291,17 +292,17 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.nameEra(w.Header())
+	s.setEraHeader(w.Header())
 	end := len(s.topic(r.URL.Query().Get("topic")).records)
 	writeJSON(w, map[string]int{"offset": end - len(l), "end": end})
 }
 
-// encode writes the end and the first offset, then each record from an offset on: a length, the key's length, the key
-// and the value.
+// encode writes the end offset and the first offset, then each record from an offset on: the record's length, the key's
+// length, the key and the value.
 func (t *keyedTopic) encode(from int) []byte {
 	var b bytes.Buffer
 	_ = binary.Write(&b, binary.BigEndian, uint64(len(t.records)))
-	_ = binary.Write(&b, binary.BigEndian, uint64(t.first))
+	_ = binary.Write(&b, binary.BigEndian, uint64(t.firstOffset))
 	for _, k := range t.records[from:] {
 		_ = binary.Write(&b, binary.BigEndian, uint32(1+len(k.key)+len(k.value)))
 		b.WriteByte(byte(len(k.key)))
--- a/internal/standin/log.go
+++ b/internal/standin/log.go
@@ -10,77 +10,77 @@
 	"golang.org/x/time/rate"
 )
 
-// appendsPerSecond is the rate of the platform's log.
+// appendsPerSecond is the append rate limit of the platform's log.
 const appendsPerSecond = 100
 
-// LogFaults are the faults of the log.
+// LogFaults selects the faults of the log.
 type LogFaults struct {
-	// Outage refuses all calls.
+	// Outage answers all calls with 503.
 	Outage bool `json:"outage"`
-	// LoseAnswers is the number of appends that take effect and whose answers are lost.
+	// LoseAnswers is the number of appends that take effect although their answers are lost.
 	LoseAnswers int `json:"lose_answers"`
-	// DelayMs is added to every call.
+	// DelayMs is the delay in milliseconds that is added to every call.
 	DelayMs int `json:"delay_ms"`
 }
 
-// Log plays the append-only log. Retention is a number of records.
+// Log simulates the platform's append-only log. Its retention is a number of records.
 type Log struct {
-	retention int
-	limiter   *rate.Limiter
-	mu        sync.Mutex
-	faults    LogFaults
-	first     uint64
-	records   [][]byte
-	change    chan struct{}
+	retention   int
+	limiter     *rate.Limiter
+	mu          sync.Mutex
+	faults      LogFaults
+	firstOffset uint64
+	records     [][]byte
+	changed     chan struct{}
 }
 
-// NewLog makes an empty log that keeps a number of records.
+// NewLog returns an empty log that retains a number of records.
 func NewLog(retention int) *Log {
 	return &Log{
-		retention: retention, limiter: rate.NewLimiter(appendsPerSecond, appendsPerSecond), first: 1,
-		change: make(chan struct{}),
+		retention: retention, limiter: rate.NewLimiter(appendsPerSecond, appendsPerSecond), firstOffset: 1,
+		changed: make(chan struct{}),
 	}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the simulated faults.
 func (l *Log) SetFaults(f LogFaults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.faults = f
 }
 
-// Append adds a record and returns its offset.
+// Append appends a record and returns its offset.
 func (l *Log) Append(data []byte) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.records = append(l.records, data)
 	if extra := len(l.records) - l.retention; extra > 0 {
 		l.records = l.records[extra:]
-		l.first += uint64(extra)
+		l.firstOffset += uint64(extra)
 	}
-	close(l.change)
-	l.change = make(chan struct{})
-	return l.first + uint64(len(l.records)) - 1
+	close(l.changed)
+	l.changed = make(chan struct{})
+	return l.firstOffset + uint64(len(l.records)) - 1
 }
 
-// Expire drops all records but the newest ones.
+// Expire removes all records except the newest ones.
 func (l *Log) Expire(keep int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if extra := len(l.records) - keep; extra > 0 {
 		l.records = l.records[extra:]
-		l.first += uint64(extra)
+		l.firstOffset += uint64(extra)
 	}
 }
 
-// Register adds the handlers.
+// Register adds the log's HTTP handlers.
 func (l *Log) Register(mux *http.ServeMux) {
 	mux.HandleFunc("POST /log/append", l.handleAppend)
 	mux.HandleFunc("GET /log/read", l.handleRead)
 }
 
-// down applies outage and delay.
-func (l *Log) down(w http.ResponseWriter) bool {
+// unavailable delays the call as the faults say and, during an outage, answers it with 503 and returns true.
+func (l *Log) unavailable(w http.ResponseWriter) bool {
 	l.mu.Lock()
 	f := l.faults
 	l.mu.Unlock()
@@ -92,11 +92,11 @@
 }
 
 func (l *Log) handleAppend(w http.ResponseWriter, r *http.Request) {
-	if l.down(w) {
+	if l.unavailable(w) {
 		return
 	}
 	if !l.limiter.Allow() {
-		http.Error(w, "over the rate", http.StatusTooManyRequests)
+		http.Error(w, "append rate limit exceeded", http.StatusTooManyRequests)
 		return
 	}
 	data, err := io.ReadAll(r.Body)
@@ -105,13 +105,13 @@
 		return
 	}
 	offset := l.Append(data)
-	if l.loseAnswer() {
-		cut()
+	if l.shouldLoseAnswer() {
+		abortConnection()
 	}
-	writeJSON(w, appended{Offset: offset})
+	writeJSON(w, appendAnswer{Offset: offset})
 }
 
-func (l *Log) loseAnswer() bool {
+func (l *Log) shouldLoseAnswer() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.faults.LoseAnswers == 0 {
@@ -121,7 +121,7 @@
 	return true
 }
 
-type appended struct {
+type appendAnswer struct {
 	Offset uint64 `json:"offset"`
 }
 
@@ -130,14 +130,14 @@
 	Data   []byte `json:"data"`
 }
 
-type logRead struct {
+type readAnswer struct {
 	First   uint64      `json:"first"`
 	Next    uint64      `json:"next"`
 	Records []logRecord `json:"records"`
 }
 
 func (l *Log) handleRead(w http.ResponseWriter, r *http.Request) {
-	if l.down(w) {
+	if l.unavailable(w) {
 		return
 	}
 	q := r.URL.Query()
@@ -146,7 +146,7 @@
 	wait, _ := time.ParseDuration(q.Get("wait"))
 	timeout := time.After(wait)
 	for {
-		a, change := l.read(from, limit)
+		a, change := l.recordsFrom(from, limit)
 		if len(a.Records) > 0 || from < a.First || wait <= 0 {
 			writeJSON(w, a)
 			return
@@ -161,12 +161,12 @@
 	}
 }
 
-func (l *Log) read(from uint64, limit int) (logRead, <-chan struct{}) {
+func (l *Log) recordsFrom(from uint64, limit int) (readAnswer, <-chan struct{}) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	a := logRead{First: l.first, Next: l.first + uint64(len(l.records))}
-	for o := max(from, l.first); o < a.Next && from >= l.first && len(a.Records) < limit; o++ {
-		a.Records = append(a.Records, logRecord{Offset: o, Data: l.records[o-l.first]})
+	a := readAnswer{First: l.firstOffset, Next: l.firstOffset + uint64(len(l.records))}
+	for o := max(from, l.firstOffset); o < a.Next && from >= l.firstOffset && len(a.Records) < limit; o++ {
+		a.Records = append(a.Records, logRecord{Offset: o, Data: l.records[o-l.firstOffset]})
 	}
-	return a, l.change
+	return a, l.changed
 }
--- a/internal/standin/modelserver.go
+++ b/internal/standin/modelserver.go
@@ -15,7 +15,8 @@
 	"time"
 )
 
-// ModelOrigin are what the origin of the users' platform gives: versions of one model, made from their numbers.
+// ModelOrigin simulates the origin of the platform: it serves versions of one model, whose content is generated from the
+// version number.
 type ModelOrigin struct {
 	Model      string
 	Chunks     int
@@ -29,7 +30,7 @@
 	return b
 }
 
-// ServeHTTP answers as the origin does.
+// ServeHTTP serves manifests and chunks with the origin's API.
 func (w ModelOrigin) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	version, _ := strconv.Atoi(r.URL.Query().Get("version"))
 	switch {
@@ -48,110 +49,115 @@
 	}
 }
 
-// RequestRun is one run of a request at a model server.
+// RequestRun is one execution of a request at a model server.
 type RequestRun struct {
-	Request  string
-	Instance string
-	Version  int
-	ResumedAfter    int
-	At       time.Time
+	Request      string
+	Instance     string
+	Version      int
+	ResumedAfter int
+	At           time.Time
 }
 
 const (
-	// modelWarm is how long a model server takes to load what is staged.
-	modelWarm = 100 * time.Millisecond
-	// modelEvent is the time between two events of a stream.
-	modelEvent = 20 * time.Millisecond
-	// modelEvents is the length of a stream in events.
-	modelEvents = 12
+	// modelLoadTime is the time that a model server needs to load staged weights.
+	modelLoadTime = 100 * time.Millisecond
+	// defaultEventInterval is the default time between two events of a stream.
+	defaultEventInterval = 20 * time.Millisecond
+	// eventsPerStream is the number of events in a complete stream.
+	eventsPerStream = 12
 )
 
-// ModelServer plays a model server of the users' platform. Its fields may change only while nothing is served.
+// ModelServer simulates a model server of the platform. Its exported fields may change only while no request is served.
 type ModelServer struct {
 	Instance string
-	// StartMillis is the Unix millisecond of its start; 0 leaves it out of what it says.
-	StartMillis    int64
-	Slots   int
-	Weights ModelOrigin
-	// EventInterval is the time between two events of a stream; 0 takes the usual one.
+	// StartMillis is the Unix time in milliseconds at which the server's incarnation started; 0 omits it from reports.
+	StartMillis int64
+	Slots       int
+	Weights     ModelOrigin
+	// EventInterval is the time between two events of a stream; 0 selects the default.
 	EventInterval time.Duration
-	// OnRun is told of each run, and Broken of each promise that the system has broken towards it.
-	OnRun   func(r RequestRun)
+	// OnRun is called for each execution of a request, and OnViolation for each guarantee that springrail has broken
+	// towards the server.
+	OnRun       func(r RequestRun)
 	OnViolation func(what string)
-	// CrashPoint says whether the server's process ends under a request's body, and after how many events: BeforeHead ends
-	// it before the head of its answer. Crash then ends it. Both are nil for a server that bears every request.
+	// CrashPoint decides whether the server's process crashes while it runs a request with this body, and after how many
+	// events; BeforeHead crashes it before the response header. OnCrash then ends the process. Both are nil for a server
+	// that never crashes.
 	CrashPoint func(body string) (events int, ends bool)
-	OnCrash   func(body string)
-	// OnRetryAfter is told of each request that is answered 503 with a Retry-After; nil for nobody.
+	OnCrash    func(body string)
+	// OnRetryAfter is called for each request that is answered 503 with a Retry-After header; it may be nil.
 	OnRetryAfter func(request, retryAfter string)
-	// OnRequest is told of each request that reaches the server, run or refused; nil for nobody.
+	// OnRequest is called for each request that reaches the server, executed or refused; it may be nil.
 	OnRequest func(request string)
 
 	mu sync.Mutex
-	// limit is what the server names in its answers to requests, and in its reports too where reported; empty for no limit.
-	limit    string
-	reported bool
-	// leaving is named in answers to requests, and in reports too where leavingReported. While retryAfter is set, every
-	// request is answered 503 with it.
-	leaving, leavingReported bool
-	retryAfter               string
-	version                  int
-	staged                   map[int][]byte
-	busy                     bool
-	orders                   int
-	running                  int
-	// loading is the version of the order that is being carried out; 0 is none.
-	loading int
-	// cutting is closed when an order ends the requests that run.
-	cutting chan struct{}
+	// limit is the rate limit that the server announces in its answers to requests, and in its reports if limitInReports
+	// is set; empty means no limit.
+	limit          string
+	limitInReports bool
+	// leaving is announced in answers to requests, and in reports if leavingInReports is set. While retryAfter is set,
+	// every request is answered 503 with it.
+	leaving, leavingInReports bool
+	retryAfter                string
+	version                   int
+	staged                    map[int][]byte
+	busy                      bool
+	orderCount                int
+	running                   int
+	// loadingVersion is the version that the current order loads; 0 means none.
+	loadingVersion int
+	// abortRunning is closed when an order aborts the running requests.
+	abortRunning chan struct{}
 }
 
-// BeforeHead is the number of events after which a process ends that sends nothing of its answer at all.
+// BeforeHead is the crash point before the response header: the server crashes without sending any part of its answer.
 const BeforeHead = -1
 
-// ServedVersion returns the version that is served; 0 is none.
+// ServedVersion returns the version that is served; 0 means none.
 func (s *ModelServer) ServedVersion() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version
 }
 
-// SetVersion makes the server serve a version, as one does that the users' platform has filled.
+// SetVersion makes the server serve a version without an order, like a server that the platform has loaded.
 func (s *ModelServer) SetVersion(version int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version = version
 }
 
-// SetLimit has the server name a limit in its answers to requests, and in its reports too where reported; an empty text ends it.
-func (s *ModelServer) SetLimit(text string, reported bool) {
+// SetLimit makes the server announce a rate limit in its answers to requests, and in its reports if inReports is set; an
+// empty text removes the limit.
+func (s *ModelServer) SetLimit(text string, inReports bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.limit, s.reported = text, reported
+	s.limit, s.limitInReports = text, inReports
 }
 
-// SetLeaving has the server say in its answers to requests that it leaves, and in its reports too where reported.
-func (s *ModelServer) SetLeaving(leaving, reported bool) {
+// SetLeaving makes the server announce that it is draining in its answers to requests, and in its reports if inReports is
+// set.
+func (s *ModelServer) SetLeaving(leaving, inReports bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving, s.leavingReported = leaving, reported
+	s.leaving, s.leavingInReports = leaving, inReports
 }
 
-// SetRetryAfter has the server turn all requests away with 503 and a Retry-After; an empty text ends it.
+// SetRetryAfter makes the server refuse all requests with 503 and a Retry-After header; an empty text ends it.
 func (s *ModelServer) SetRetryAfter(retryAfter string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.retryAfter = retryAfter
 }
 
-// name writes into an answer what the server says of itself.
-func (s *ModelServer) name(h http.Header, isReport bool) {
+// writeAnnouncements sets the headers that announce draining and the rate limit.
+func (s *ModelServer) writeAnnouncements(h http.Header, isReport bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.leaving && (s.leavingReported || !isReport) {
+	if s.leaving && (s.leavingInReports || !isReport) {
 		h.Set("Server-Leaving", "1")
 	}
-	if s.limit != "" && (s.reported || !isReport) {
+	if s.limit != "" && (s.limitInReports || !isReport) {
 		h.Set("Server-Limit", s.limit)
 	}
 }
@@ -160,17 +166,17 @@
 func (s *ModelServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.URL.Path == "/v1/report":
-		s.report(w)
+		s.handleReport(w)
 	case r.URL.Path == "/v1/order":
-		s.order(w, r)
+		s.handleOrder(w, r)
 	case strings.HasPrefix(r.URL.Path, "/v1/stage-"):
-		s.stage(w, r)
+		s.handleStage(w, r)
 	default:
-		s.request(w, r)
+		s.handleRequest(w, r)
 	}
 }
 
-// Models is what the server says of itself in its report and in the list.
+// Models returns the served models as the server's report and its record in the store contain them.
 func (s *ModelServer) Models() []map[string]any {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,23 +186,23 @@
 	return []map[string]any{{"name": s.Weights.Model, "version": s.version}}
 }
 
-func (s *ModelServer) report(w http.ResponseWriter) {
+func (s *ModelServer) handleReport(w http.ResponseWriter) {
 	models := s.Models()
-	s.name(w.Header(), true)
+	s.writeAnnouncements(w.Header(), true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	said := map[string]any{
-		"stage": "both", "models": models, "busy": s.busy, "sequence": s.orders, "waiting": 0, "running": s.running,
+	report := map[string]any{
+		"stage": "both", "models": models, "busy": s.busy, "sequence": s.orderCount, "waiting": 0, "running": s.running,
 		"kvUsed": 0, "kvTotal": 1, "pace": 1,
 	}
 	if s.StartMillis > 0 {
-		said["born"] = s.StartMillis
+		report["born"] = s.StartMillis
 	}
-	writeJSON(w, said)
+	writeJSON(w, report)
 }
 
-// stage keeps chunks.
-func (s *ModelServer) stage(w http.ResponseWriter, r *http.Request) {
+// handleStage stores a chunk, returns one, or lists the staged chunks.
+func (s *ModelServer) handleStage(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.staged == nil {
@@ -219,9 +225,9 @@
 	}
 }
 
-// order loads what is staged once nothing runs; one that cuts ends what runs. Chunks of another version or spoilt ones
-// are a broken promise.
-func (s *ModelServer) order(w http.ResponseWriter, r *http.Request) {
+// handleOrder loads the staged version once no request is running; an order in cut mode aborts the running requests.
+// Missing, damaged or outdated chunks violate a guarantee of springrail's.
+func (s *ModelServer) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o struct {
 		Op               string `json:"op"`
 		Version          int    `json:"version"`
@@ -238,120 +244,121 @@
 	case s.version == o.Version:
 		w.WriteHeader(http.StatusOK)
 		return
-	case s.busy || o.ExpectedSequence != s.orders:
+	case s.busy || o.ExpectedSequence != s.orderCount:
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
 	for n := range s.Weights.Chunks {
 		if !bytes.Equal(s.staged[n], s.Weights.Chunk(o.Version, n)) {
-			s.OnViolation(fmt.Sprintf("%s was ordered to load version %d with a wrong chunk %d", s.Instance, o.Version, n))
+			s.OnViolation(fmt.Sprintf("%s was ordered to load version %d, but its staged chunk %d is missing or wrong", s.Instance, o.Version, n))
 			break
 		}
 	}
-	s.orders++
-	s.busy, s.loading = true, o.Version
-	if o.How == orderCut && s.cutting != nil {
-		close(s.cutting)
-		s.cutting = nil
+	s.orderCount++
+	s.busy, s.loadingVersion = true, o.Version
+	if o.How == orderModeCut && s.abortRunning != nil {
+		close(s.abortRunning)
+		s.abortRunning = nil
 	}
-	s.warm()
+	s.startLoading()
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// orderCut is the word of an order that ends the requests that run.
-const orderCut = "cut"
+// orderModeCut is the order mode that aborts running requests.
+const orderModeCut = "cut"
 
-// warm begins to load once nothing runs; the caller holds the lock.
-func (s *ModelServer) warm() {
-	if s.loading == 0 || s.running > 0 {
+// startLoading starts the ordered load once no request is running. The caller holds the lock.
+func (s *ModelServer) startLoading() {
+	if s.loadingVersion == 0 || s.running > 0 {
 		return
 	}
-	version := s.loading
-	s.loading = 0
-	time.AfterFunc(modelWarm, func() {
+	version := s.loadingVersion
+	s.loadingVersion = 0
+	time.AfterFunc(modelLoadTime, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.busy, s.version = false, version
 	})
 }
 
-// request runs a caller's request: a stream where it names a model, a short answer elsewhere.
-func (s *ModelServer) request(w http.ResponseWriter, r *http.Request) {
+// handleRequest runs a caller's request: it streams events if the request names a model, and sends a short answer
+// otherwise.
+func (s *ModelServer) handleRequest(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
 	if s.OnRequest != nil {
 		s.OnRequest(r.Header.Get("Request-Id"))
 	}
-	s.name(w.Header(), false)
+	s.writeAnnouncements(w.Header(), false)
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	version, cutting, reason := s.enter(r)
-	if reason != 0 {
+	version, aborted, refusal := s.acquireSlot(r)
+	if refusal != 0 {
 		w.Header().Set("Not-Executed", "1")
-		s.askForRest(w.Header(), r.Header.Get("Request-Id"), reason)
-		w.WriteHeader(reason)
+		s.writeRetryAfter(w.Header(), r.Header.Get("Request-Id"), refusal)
+		w.WriteHeader(refusal)
 		return
 	}
-	defer s.leave()
+	defer s.releaseSlot()
 	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	s.OnRun(RequestRun{Request: r.Header.Get("Request-Id"), Instance: s.Instance, Version: version, ResumedAfter: after, At: time.Now()})
-	events, ends := s.crashes(string(body))
-	if ends && events == BeforeHead {
-		s.crash(string(body))
+	events, crashes := s.crashPoint(string(body))
+	if crashes && events == BeforeHead {
+		s.endProcess(string(body))
 	}
 	w.Header().Set("Response-Seal", s.Instance+"."+r.Header.Get("Request-Id"))
 	if r.Header.Get("Model") == "" {
-		time.Sleep(modelEvent)
+		time.Sleep(defaultEventInterval)
 		_, _ = fmt.Fprintf(w, "%s %s", r.Header.Get("Request-Id"), body)
 		return
 	}
 	w.Header().Set("Versions", strconv.Itoa(version))
 	w.Header().Set("Content-Type", "text/event-stream")
-	pause := modelEvent
+	interval := defaultEventInterval
 	if s.EventInterval > 0 {
-		pause = s.EventInterval
+		interval = s.EventInterval
 	}
 	_ = http.NewResponseController(w).Flush()
-	for n := after + 1; n <= modelEvents && r.Context().Err() == nil; n++ {
+	for n := after + 1; n <= eventsPerStream && r.Context().Err() == nil; n++ {
 		select {
-		case <-time.After(pause):
-		case <-cutting:
-			cut()
+		case <-time.After(interval):
+		case <-aborted:
+			abortConnection()
 		}
-		if ends && n > after+events {
-			s.crash(string(body))
+		if crashes && n > after+events {
+			s.endProcess(string(body))
 		}
 		_, _ = fmt.Fprintf(w, "id: %d\ndata: %s %d %d\n\n", n, r.Header.Get("Request-Id"), version, n)
 		_ = http.NewResponseController(w).Flush()
 	}
 }
 
-// crashes says whether the process ends under a body, and after how many events.
-func (s *ModelServer) crashes(body string) (events int, ends bool) {
+// crashPoint reports whether the process crashes while it runs a request with this body, and after how many events.
+func (s *ModelServer) crashPoint(body string) (events int, ends bool) {
 	if s.CrashPoint == nil {
 		return 0, false
 	}
 	return s.CrashPoint(body)
 }
 
-// crash ends the process, and with it the answer that it was at.
-func (s *ModelServer) crash(body string) {
+// endProcess ends the process and aborts the answer in progress.
+func (s *ModelServer) endProcess(body string) {
 	s.OnCrash(body)
-	cut()
+	abortConnection()
 }
 
-// StreamOf is the body of a whole stream of a version.
+// StreamOf returns the complete body of a stream that a version generates for a request.
 func StreamOf(request string, version int) string {
 	var b strings.Builder
-	for n := 1; n <= modelEvents; n++ {
+	for n := 1; n <= eventsPerStream; n++ {
 		fmt.Fprintf(&b, "id: %d\ndata: %s %d %d\n\n", n, request, version, n)
 	}
 	return b.String()
 }
 
-// enter takes a slot, or says with which status the request is refused.
-func (s *ModelServer) enter(r *http.Request) (version int, cutting <-chan struct{}, reason int) {
+// acquireSlot takes an execution slot, or returns the status with which the request is refused.
+func (s *ModelServer) acquireSlot(r *http.Request) (version int, cutting <-chan struct{}, reason int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	expected := r.Header.Get("Expect-Version")
@@ -364,14 +371,14 @@
 		return 0, nil, http.StatusServiceUnavailable
 	}
 	s.running++
-	if s.cutting == nil {
-		s.cutting = make(chan struct{})
+	if s.abortRunning == nil {
+		s.abortRunning = make(chan struct{})
 	}
-	return s.version, s.cutting, 0
+	return s.version, s.abortRunning, 0
 }
 
-// askForRest writes into an answer when the caller may come back.
-func (s *ModelServer) askForRest(h http.Header, request string, status int) {
+// writeRetryAfter sets the Retry-After header of a 503 answer if one is configured.
+func (s *ModelServer) writeRetryAfter(h http.Header, request string, status int) {
 	s.mu.Lock()
 	after := s.retryAfter
 	s.mu.Unlock()
@@ -384,9 +391,9 @@
 	}
 }
 
-func (s *ModelServer) leave() {
+func (s *ModelServer) releaseSlot() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.running--
-	s.warm()
+	s.startLoading()
 }
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -19,49 +19,49 @@
 	Engine  bool   `json:"engine"`
 }
 
-type listedVMs struct {
+type vmListAnswer struct {
 	Version uint64     `json:"version"`
 	VMs     []ListedVM `json:"vms"`
 }
 
-// VMList plays the platform's list: what is set shows after a lag.
+// VMList simulates the platform's VM list: a new list is published after a delay.
 type VMList struct {
-	lag     time.Duration
-	mu      sync.Mutex
-	shown   listedVMs
-	pending listedVMs
-	showAt  time.Time
-	outage  bool
+	publishDelay time.Duration
+	mu           sync.Mutex
+	published    vmListAnswer
+	pending      vmListAnswer
+	publishAt    time.Time
+	outage       bool
 }
 
-// NewVMList makes an empty list.
+// NewVMList returns an empty list.
 func NewVMList(lag time.Duration) *VMList {
-	return &VMList{lag: lag}
+	return &VMList{publishDelay: lag}
 }
 
-// Set replaces the list; it shows after the lag.
+// Set replaces the list; the new one is published after the delay.
 func (l *VMList) Set(vms []ListedVM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.settle()
-	l.pending = listedVMs{Version: max(l.shown.Version, l.pending.Version) + 1, VMs: vms}
-	l.showAt = time.Now().Add(l.lag)
+	l.publishPending()
+	l.pending = vmListAnswer{Version: max(l.published.Version, l.pending.Version) + 1, VMs: vms}
+	l.publishAt = time.Now().Add(l.publishDelay)
 }
 
-// SetOutage refuses all calls or takes them again.
+// SetOutage starts or ends an outage, in which all calls are answered with 503.
 func (l *VMList) SetOutage(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.outage = on
 }
 
-func (l *VMList) settle() {
-	if l.pending.Version > l.shown.Version && !time.Now().Before(l.showAt) {
-		l.shown = l.pending
+func (l *VMList) publishPending() {
+	if l.pending.Version > l.published.Version && !time.Now().Before(l.publishAt) {
+		l.published = l.pending
 	}
 }
 
-// Register adds the handlers.
+// Register adds the list's HTTP handlers.
 func (l *VMList) Register(mux *http.ServeMux) {
 	mux.HandleFunc("GET /vms", func(w http.ResponseWriter, _ *http.Request) {
 		l.mu.Lock()
@@ -70,8 +70,8 @@
 			http.Error(w, "outage", http.StatusServiceUnavailable)
 			return
 		}
-		l.settle()
-		writeJSON(w, l.shown)
+		l.publishPending()
+		writeJSON(w, l.published)
 	})
 	mux.HandleFunc("PUT /vms", func(w http.ResponseWriter, r *http.Request) {
 		var vms []ListedVM
@@ -84,7 +84,7 @@
 	})
 }
 
-// Platform is all of the platform in one process.
+// Platform simulates all services of the platform in one process.
 type Platform struct {
 	Log    *Log
 	VMs    *VMList
@@ -92,7 +92,7 @@
 	Origin *Weights
 }
 
-// PlatformFaults are the faults of all parts of the platform.
+// PlatformFaults selects the faults of all services of the platform.
 type PlatformFaults struct {
 	Log      LogFaults     `json:"log"`
 	ListDown bool          `json:"list_down"`
@@ -100,13 +100,13 @@
 	Origin   WeightsFaults `json:"origin"`
 }
 
-// PlatformStats counts what was drawn, in bytes.
+// PlatformStats counts the content bytes that the origin and the store have sent.
 type PlatformStats struct {
 	OriginBytes int64 `json:"origin_bytes"`
 	StoreBytes  int64 `json:"store_bytes"`
 }
 
-// Handler returns the platform's HTTP.
+// Handler returns the HTTP handler of all services of the platform.
 func (p *Platform) Handler() http.Handler {
 	mux := http.NewServeMux()
 	p.Log.Register(mux)
--- a/internal/standin/serve.go
+++ b/internal/standin/serve.go
@@ -1,6 +1,6 @@
-// Package standin plays what springrail meets, for tests, the demo and experiments: the platform's log, VM list, weight
-// store and origin, model engines and plain services. Faults are switched on over a small HTTP handle, and what matters
-// for proof is counted.
+// Package standin simulates the external systems of springrail for tests, the demo and experiments: the platform's log,
+// VM list, weight store and origin, model engines and plain services. Faults are injected over HTTP, and counters record
+// what tests verify.
 package standin
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/gravitational/trace"
 )
 
-// Serve runs a handler on an address until the context ends.
+// Serve serves a handler on an address until the context ends.
 func Serve(ctx context.Context, listen string, h http.Handler) error {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -23,7 +23,7 @@
 	return ServeOn(ctx, l, h)
 }
 
-// ServeOn runs a handler on a listener until the context ends.
+// ServeOn serves a handler on a listener until the context ends.
 func ServeOn(ctx context.Context, l net.Listener, h http.Handler) error {
 	s := &http.Server{Handler: h, ReadHeaderTimeout: time.Second}
 	stop := context.AfterFunc(ctx, func() { s.Close() })
@@ -39,7 +39,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// handleFaults serves GET and PUT of a fault struct.
+// handleFaults serves GET and PUT /faults for a struct of faults.
 func handleFaults(mux *http.ServeMux, get func() any, set func(d *json.Decoder) error) {
 	mux.HandleFunc("GET /faults", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, get()) })
 	mux.HandleFunc("PUT /faults", func(w http.ResponseWriter, r *http.Request) {
@@ -53,7 +53,7 @@
 	})
 }
 
-// cut ends a connection without an answer.
-func cut() {
+// abortConnection aborts the handler and its connection without completing the answer.
+func abortConnection() {
 	panic(http.ErrAbortHandler)
 }
--- a/internal/standin/service.go
+++ b/internal/standin/service.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// ServiceFaults are the faults of a plain service.
+// ServiceFaults selects the faults of a plain service.
 type ServiceFaults struct {
 	Outage bool `json:"outage"`
-	// LoseAnswers is the number of calls that take effect and whose answers are lost.
+	// LoseAnswers is the number of calls that take effect although their answers are lost.
 	LoseAnswers int `json:"lose_answers"`
 	DelayMs     int `json:"delay_ms"`
 }
 
-// Service plays a plain service whose calls may not be repeated. It counts how often each call took effect.
+// Service simulates a plain service whose calls must not be retried. It counts how often each call took effect.
 type Service struct {
 	mu     sync.Mutex
 	faults ServiceFaults
 	runs   map[string]int
 }
 
-// NewService makes a service.
+// NewService returns a service without faults.
 func NewService() *Service {
 	return &Service{runs: map[string]int{}}
 }
 
-// serviceAnswer is what a call gets.
+// serviceAnswer is the body of an answer to a call.
 type serviceAnswer struct {
 	Path string `json:"path"`
 	Key  string `json:"key"`
@@ -36,21 +36,21 @@
 	Body string `json:"body"`
 }
 
-// Runs returns how often the call of a key took effect.
+// Runs returns how often the call with an idempotency key took effect.
 func (s *Service) Runs(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[key]
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the simulated faults.
 func (s *Service) SetFaults(f ServiceFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Handler returns the service's HTTP.
+// Handler returns the HTTP handler of the service.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	handleFaults(mux, func() any { s.mu.Lock(); defer s.mu.Unlock(); return s.faults }, func(d *json.Decoder) error {
@@ -67,11 +67,11 @@
 		defer s.mu.Unlock()
 		writeJSON(w, s.runs)
 	})
-	mux.HandleFunc("/", s.call)
+	mux.HandleFunc("/", s.handleCall)
 	return mux
 }
 
-func (s *Service) call(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handleCall(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	key := r.Header.Get("Idempotency-Key")
 	if key == "" {
@@ -86,14 +86,14 @@
 	}
 	s.runs[key]++
 	run := s.runs[key]
-	lose := s.faults.LoseAnswers > 0
-	if lose {
+	loseAnswer := s.faults.LoseAnswers > 0
+	if loseAnswer {
 		s.faults.LoseAnswers--
 	}
 	s.mu.Unlock()
 	time.Sleep(time.Duration(f.DelayMs) * time.Millisecond)
-	if lose {
-		cut()
+	if loseAnswer {
+		abortConnection()
 	}
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 	writeJSON(w, serviceAnswer{Path: r.URL.Path, Key: key, Run: run, Body: string(body)})
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -24,10 +24,10 @@
 )
 
 func TestStandin(t *testing.T) {
-	spec.Run(t, "The stand-ins")
+	spec.Run(t, "The simulated external systems")
 }
 
-func do(h http.Handler, method, path, body string, header ...string) *httptest.ResponseRecorder {
+func serveRequest(h http.Handler, method, path, body string, header ...string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	for i := 0; i+1 < len(header); i += 2 {
 		r.Header.Set(header[i], header[i+1])
@@ -66,18 +66,18 @@
 	load := func(model, base string, fence int) int {
 		o := fmt.Sprintf(`{"organisation":"gym","model":%q,"base_model":%q,"version":"v%d","fence":%d,"manifest_sha256":%q,
 			"manifest_url":%q,"content_url":%q}`, model, base, fence, fence, sum, source.URL+"/manifest", source.URL+"/content")
-		return do(h, http.MethodPost, "/admin/load", o).Code
+		return serveRequest(h, http.MethodPost, "/admin/load", o).Code
 	}
 	status := func(model string) func() engine.LoadStatus {
 		return func() engine.LoadStatus {
 			var s engine.State
-			Expect(json.Unmarshal(do(h, http.MethodGet, "/admin/state", "").Body.Bytes(), &s)).To(Succeed())
+			Expect(json.Unmarshal(serveRequest(h, http.MethodGet, "/admin/state", "").Body.Bytes(), &s)).To(Succeed())
 			l, _ := s.Find("gym", id.Model(model))
 			return l.Status
 		}
 	}
 
-	It("obeys orders by their fence, and loads an adapter only on its base", func() {
+	It("refuses orders with an older fence, and loads an adapter only if its base model is ready", func() {
 		Expect(load("adapter", "desk", 1)).To(Equal(http.StatusAccepted))
 		Eventually(status("adapter")).Should(Equal(engine.StatusFailed))
 		Expect(load("desk", "", 5)).To(Equal(http.StatusAccepted))
@@ -85,16 +85,16 @@
 		Expect(load("desk", "", 4)).To(Equal(http.StatusConflict))
 		Expect(load("adapter", "desk", 6)).To(Equal(http.StatusAccepted))
 		Eventually(status("adapter")).Should(Equal(engine.StatusReady))
-		Expect(do(h, http.MethodPost, "/admin/role", `{"name":"prefill","fence":7}`).Code).To(Equal(http.StatusNoContent))
-		Expect(do(h, http.MethodPost, "/admin/role", `{"name":"decode","fence":6}`).Code).To(Equal(http.StatusConflict))
-		Expect(do(h, http.MethodGet, "/admin/state", "").Body.String()).To(ContainSubstring(`"role":"prefill"`))
+		Expect(serveRequest(h, http.MethodPost, "/admin/role", `{"name":"prefill","fence":7}`).Code).To(Equal(http.StatusNoContent))
+		Expect(serveRequest(h, http.MethodPost, "/admin/role", `{"name":"decode","fence":6}`).Code).To(Equal(http.StatusConflict))
+		Expect(serveRequest(h, http.MethodGet, "/admin/state", "").Body.String()).To(ContainSubstring(`"role":"prefill"`))
 	})
 
-	It("streams, resumes, tells of its cache late, and moves it", func() {
+	It("streams, resumes a stream, publishes cache events with a delay, and exports and imports its cache", func() {
 		load("desk", "", 1)
 		Eventually(status("desk")).Should(Equal(engine.StatusReady))
-		chat := func(more string) string {
-			return do(h, http.MethodPost, "/v1/chat/completions", `{"model":"desk","stream":true,"max_tokens":4,"messages":["hello"]`+more+`}`,
+		chat := func(extraFields string) string {
+			return serveRequest(h, http.MethodPost, "/v1/chat/completions", `{"model":"desk","stream":true,"max_tokens":4,"messages":["hello"]`+extraFields+`}`,
 				"X-Organisation", "gym", "X-Request-Id", "r").Body.String()
 		}
 		whole := chat("")
@@ -103,59 +103,61 @@
 		rest := chat(`,"resume_from":3`)
 		Expect(strings.Count(rest, "data: {")).To(Equal(1))
 		Expect(whole).To(ContainSubstring(strings.SplitN(rest, "\n", 2)[0]))
-		Expect(do(h, http.MethodGet, "/admin/cache-events?since=-1", "").Body.String()).To(Equal("null\n"))
-		Eventually(func() string { return do(h, http.MethodGet, "/admin/cache-events?since=-1", "").Body.String() }).
+		Expect(serveRequest(h, http.MethodGet, "/admin/cache-events?since=-1", "").Body.String()).To(Equal("null\n"))
+		Eventually(func() string {
+			return serveRequest(h, http.MethodGet, "/admin/cache-events?since=-1", "").Body.String()
+		}).
 			Should(ContainSubstring("hello"))
-		kv := do(h, http.MethodGet, "/admin/kv", "").Body.String()
+		kv := serveRequest(h, http.MethodGet, "/admin/kv", "").Body.String()
 		Expect(kv).To(ContainSubstring("hello"))
-		Expect(do(h, http.MethodPut, "/admin/kv", `["other"]`).Code).To(Equal(http.StatusNoContent))
-		Expect(do(h, http.MethodGet, "/admin/kv", "").Body.String()).To(ContainSubstring("other"))
+		Expect(serveRequest(h, http.MethodPut, "/admin/kv", `["other"]`).Code).To(Equal(http.StatusNoContent))
+		Expect(serveRequest(h, http.MethodGet, "/admin/kv", "").Body.String()).To(ContainSubstring("other"))
 	})
 
-	It("frees the place of a stream whose caller has gone", func() {
+	It("frees the slot of a request whose caller has disconnected", func() {
 		load("desk", "", 1)
 		Eventually(status("desk")).Should(Equal(engine.StatusReady))
-		ctx, gone := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		r := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", strings.NewReader(`{"model":"desk","max_tokens":4000,"messages":[]}`)).WithContext(ctx)
 		r.Header.Set("X-Organisation", "gym")
 		go h.ServeHTTP(httptest.NewRecorder(), r)
-		running := func() string { return do(h, http.MethodGet, "/admin/state", "").Body.String() }
+		running := func() string { return serveRequest(h, http.MethodGet, "/admin/state", "").Body.String() }
 		Eventually(running).Should(ContainSubstring(`"running":1`))
-		gone()
+		cancel()
 		Eventually(running).Should(ContainSubstring(`"running":0`))
 	})
 })
 
 var _ = Describe("the platform", func() {
-	It("keeps its log's rate and retention, loses answers, and is late with its list", func() {
+	It("limits its log's append rate and retention, simulates outages, and publishes its VM list with a delay", func() {
 		p := &Platform{Log: NewLog(3), VMs: NewVMList(100 * time.Millisecond), Store: NewWeights("", 0), Origin: NewWeights("", 0)}
 		h := p.Handler()
 		codes := map[int]int{}
 		for range 2 * appendsPerSecond {
-			codes[do(h, http.MethodPost, "/log/append", "x").Code]++
+			codes[serveRequest(h, http.MethodPost, "/log/append", "x").Code]++
 		}
 		Expect(codes[http.StatusTooManyRequests]).To(BeNumerically(">", appendsPerSecond/2))
-		var read logRead
-		Expect(json.Unmarshal(do(h, http.MethodGet, "/log/read?from=1&limit=10", "").Body.Bytes(), &read)).To(Succeed())
+		var read readAnswer
+		Expect(json.Unmarshal(serveRequest(h, http.MethodGet, "/log/read?from=1&limit=10", "").Body.Bytes(), &read)).To(Succeed())
 		Expect(read.Next - read.First).To(Equal(uint64(3)))
 		Expect(read.Records).To(BeEmpty())
-		Expect(do(h, http.MethodPut, "/faults", `{"log":{"outage":true}}`).Code).To(Equal(http.StatusOK))
-		Expect(do(h, http.MethodGet, "/log/read?from=1&limit=10", "").Code).To(Equal(http.StatusServiceUnavailable))
-		Expect(do(h, http.MethodPut, "/faults", `{"log":{"outrage":true}}`).Code).To(Equal(http.StatusBadRequest))
+		Expect(serveRequest(h, http.MethodPut, "/faults", `{"log":{"outage":true}}`).Code).To(Equal(http.StatusOK))
+		Expect(serveRequest(h, http.MethodGet, "/log/read?from=1&limit=10", "").Code).To(Equal(http.StatusServiceUnavailable))
+		Expect(serveRequest(h, http.MethodPut, "/faults", `{"log":{"outrage":true}}`).Code).To(Equal(http.StatusBadRequest))
 		p.VMs.Set([]ListedVM{{ID: "a"}})
-		Expect(do(h, http.MethodGet, "/vms", "").Body.String()).NotTo(ContainSubstring(`"a"`))
-		Eventually(func() string { return do(h, http.MethodGet, "/vms", "").Body.String() }).Should(ContainSubstring(`"a"`))
+		Expect(serveRequest(h, http.MethodGet, "/vms", "").Body.String()).NotTo(ContainSubstring(`"a"`))
+		Eventually(func() string { return serveRequest(h, http.MethodGet, "/vms", "").Body.String() }).Should(ContainSubstring(`"a"`))
 	})
 
-	It("shapes its links and counts what it sends", func() {
+	It("limits its bandwidth and counts the bytes that it sends", func() {
 		w := NewWeights("", 100_000)
-		w.Put("p/content", make([]byte, 3*pieceBytes))
+		w.Put("p/content", make([]byte, 3*burstBytes))
 		mux := http.NewServeMux()
 		w.Register(mux, "/origin/")
 		started := time.Now()
-		a := do(mux, http.MethodGet, "/origin/p/content", "", "Range", fmt.Sprintf("bytes=0-%d", 3*pieceBytes-1))
+		a := serveRequest(mux, http.MethodGet, "/origin/p/content", "", "Range", fmt.Sprintf("bytes=0-%d", 3*burstBytes-1))
 		n, _ := io.Copy(io.Discard, a.Body)
-		Expect(n).To(Equal(int64(3 * pieceBytes)))
+		Expect(n).To(Equal(int64(3 * burstBytes)))
 		Expect(time.Since(started)).To(BeNumerically(">", 250*time.Millisecond))
 		Expect(w.BytesSent()).To(Equal(n))
 	})
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -15,36 +15,37 @@
 	"golang.org/x/time/rate"
 )
 
-// pieceBytes is the piece that link shaping works on.
-const pieceBytes = 16 << 10
+// burstBytes is the burst size of the bandwidth limiter, and the size of each write.
+const burstBytes = 16 << 10
 
-// WeightsFaults are the faults of a store or origin.
+// WeightsFaults selects the faults of a weight store or origin.
 type WeightsFaults struct {
 	Outage bool `json:"outage"`
-	// Stall holds each answer after its head.
+	// Stall blocks each answer after its header.
 	Stall bool `json:"stall"`
-	// CorruptEvery damages one of so many answers; 0 damages none.
+	// CorruptEvery corrupts every n-th answer; 0 corrupts none.
 	CorruptEvery int `json:"corrupt_every"`
-	// Swap serves other content under the same version.
+	// Swap serves different content under the same version.
 	Swap bool `json:"swap"`
 }
 
-// Weights plays the store or the origin: versions under paths, over a link that all answers share.
+// Weights simulates the weight store or the origin: it serves versions by path, with a bandwidth limit that all answers
+// share.
 type Weights struct {
-	dir     string
-	link    *rate.Limiter
-	mu      sync.Mutex
-	faults  WeightsFaults
-	memory  map[string][]byte
-	answers int
-	drawn   atomic.Int64
+	dir         string
+	limiter     *rate.Limiter
+	mu          sync.Mutex
+	faults      WeightsFaults
+	objects     map[string][]byte
+	answerCount int
+	bytesSent   atomic.Int64
 }
 
-// NewWeights serves a folder, and what Put adds, at a rate in bytes a second; 0 is unlimited.
+// NewWeights serves the files of a directory and the objects added by Put, at a rate in bytes per second; 0 is unlimited.
 func NewWeights(dir string, bytesPerSecond int) *Weights {
-	w := &Weights{dir: dir, link: rate.NewLimiter(rate.Inf, pieceBytes), memory: map[string][]byte{}}
+	w := &Weights{dir: dir, limiter: rate.NewLimiter(rate.Inf, burstBytes), objects: map[string][]byte{}}
 	if bytesPerSecond > 0 {
-		w.link = rate.NewLimiter(rate.Limit(bytesPerSecond), pieceBytes)
+		w.limiter = rate.NewLimiter(rate.Limit(bytesPerSecond), burstBytes)
 	}
 	return w
 }
@@ -53,36 +54,36 @@
 func (o *Weights) Put(path string, data []byte) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.memory[path] = data
+	o.objects[path] = data
 }
 
-// BytesSent is the number of bytes of content that were sent.
+// BytesSent returns the number of content bytes sent.
 func (o *Weights) BytesSent() int64 {
-	return o.drawn.Load()
+	return o.bytesSent.Load()
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the simulated faults.
 func (o *Weights) SetFaults(f WeightsFaults) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.faults = f
 }
 
-// Faults returns the faults.
+// Faults returns the simulated faults.
 func (o *Weights) Faults() WeightsFaults {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.faults
 }
 
-// Register adds the handler under a prefix such as "/origin/".
+// Register adds the handler under a path prefix such as "/origin/".
 func (o *Weights) Register(mux *http.ServeMux, prefix string) {
 	mux.HandleFunc("GET "+prefix+"{path...}", o.serve)
 }
 
-func (o *Weights) object(path string) ([]byte, error) {
+func (o *Weights) readObject(path string) ([]byte, error) {
 	o.mu.Lock()
-	data := o.memory[path]
+	data := o.objects[path]
 	o.mu.Unlock()
 	if data != nil {
 		return data, nil
@@ -100,32 +101,32 @@
 		return
 	}
 	path := r.PathValue("path")
-	data, err := o.slice(path, r.Header.Get("Range"))
+	data, err := o.readRange(path, r.Header.Get("Range"))
 	if err != nil {
 		http.NotFound(w, r)
 		return
 	}
 	content := strings.HasSuffix(path, "/content")
 	if content {
-		data = o.damage(data, f)
+		data = o.corrupt(data, f)
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	w.WriteHeader(http.StatusPartialContent)
 	if f.Stall {
 		_ = http.NewResponseController(w).Flush()
-		stalled(r.Context())
+		waitForCancel(r.Context())
 		return
 	}
 	o.send(r.Context(), w, data, content)
 }
 
-// slice returns the range "bytes=a-b" of an object, or all of it.
-func (o *Weights) slice(path, asked string) ([]byte, error) {
-	data, err := o.object(path)
+// readRange returns the range "bytes=a-b" of an object, or the complete object.
+func (o *Weights) readRange(path, rangeHeader string) ([]byte, error) {
+	data, err := o.readObject(path)
 	if err != nil {
 		return nil, err
 	}
-	from, to, ok := strings.Cut(strings.TrimPrefix(asked, "bytes="), "-")
+	from, to, ok := strings.Cut(strings.TrimPrefix(rangeHeader, "bytes="), "-")
 	if !ok {
 		return data, nil
 	}
@@ -137,10 +138,10 @@
 	return data[a : b+1], nil
 }
 
-func (o *Weights) damage(data []byte, f WeightsFaults) []byte {
+func (o *Weights) corrupt(data []byte, f WeightsFaults) []byte {
 	o.mu.Lock()
-	o.answers++
-	corrupt := f.CorruptEvery > 0 && o.answers%f.CorruptEvery == 0
+	o.answerCount++
+	corrupt := f.CorruptEvery > 0 && o.answerCount%f.CorruptEvery == 0
 	o.mu.Unlock()
 	if !corrupt && !f.Swap {
 		return data
@@ -150,24 +151,24 @@
 	return bad
 }
 
-func (o *Weights) send(ctx context.Context, w io.Writer, data []byte, count bool) {
+func (o *Weights) send(ctx context.Context, w io.Writer, data []byte, countBytes bool) {
 	for len(data) > 0 {
-		n := min(pieceBytes, len(data))
-		if o.link.WaitN(ctx, n) != nil {
+		n := min(burstBytes, len(data))
+		if o.limiter.WaitN(ctx, n) != nil {
 			return
 		}
 		if _, err := w.Write(data[:n]); err != nil {
 			return
 		}
-		if count {
-			o.drawn.Add(int64(n))
+		if countBytes {
+			o.bytesSent.Add(int64(n))
 		}
 		data = data[n:]
 	}
 }
 
-// stalled waits until the caller gives up.
-func stalled(ctx context.Context) {
+// waitForCancel blocks until the request is cancelled, or for a minute.
+func waitForCancel(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Minute):
