--- a/internal/fleet/agent.go
+++ b/internal/fleet/agent.go
@@ -18,38 +18,38 @@
 	"github.com/springrail/springrail/internal/upstream"
 )
 
-// Agent is a real agent's parts.
+// Agent is a running agent with the parts that tests and experiments use.
 type Agent struct {
 	VM       id.VM
 	Domain   id.Domain
 	Manager  *transfer.Manager
 	Follower *follow.Follower
 	Link     *Link
-	// Engine and Service are the upstream of a serving fleet's agent; one of them is nil.
-	Engine  *standin.Engine
-	Service *standin.Service
-	host    *kernel.Host
-	server  *rpc.Server
-	stop    context.CancelFunc
-	engine  context.CancelFunc
-	ended   chan struct{}
+	// Engine and Service are the upstream of an agent in a serving fleet; one of them is nil.
+	Engine     *standin.Engine
+	Service    *standin.Service
+	host       *kernel.Host
+	server     *rpc.Server
+	stop       context.CancelFunc
+	stopEngine context.CancelFunc
+	done       chan struct{}
 }
 
-// Kill ends the VM as a power cut does.
+// Kill ends the VM abruptly, like a power failure.
 func (a *Agent) Kill() {
 	a.Link.Kill()
 	a.stop()
 }
 
-// Leave stops the agent as an operator does and waits until it has ended.
+// Leave stops the agent as a planned stop does, and waits until it has ended.
 func (a *Agent) Leave() {
 	a.host.Leave()
-	<-a.ended
+	<-a.done
 }
 
-// KillEngine ends the engine alone, and returns once it takes no connection.
+// KillEngine ends the engine but not the agent, and returns once it accepts no connections.
 func (a *Agent) KillEngine() {
-	a.engine()
+	a.stopEngine()
 }
 
 func (f *Fleet) addAgent(ctx context.Context, i int, service bool) error {
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	a := &Agent{VM: id.VM(fmt.Sprintf("vm-%03d", i)), Domain: f.domain(i), ended: make(chan struct{})}
+	a := &Agent{VM: id.VM(fmt.Sprintf("vm-%03d", i)), Domain: f.domain(i), done: make(chan struct{})}
 	a.Link = newLink(a.Domain, f.size.LinkBytesPerSecond, f.size.HalfDuplex, f.reachable)
 	dial, clock := a.Link.dialer(f.lookup), f.clock(i+1)
 	a.server = rpc.NewShaped(a.Link.Listener(l), dial, clock)
@@ -72,7 +72,7 @@
 	if service {
 		pool = Service
 	}
-	a.host, err = f.hostOf(string(a.VM), a.Domain, parts, clock, a.server, dial, func(m map[string]kernel.Section) {
+	a.host, err = f.newHost(string(a.VM), a.Domain, parts, clock, a.server, dial, func(m map[string]kernel.Section) {
 		*m["swarm"].(*transfer.Settings) = *f.size.Swarm
 		v := m["vm"].(*follow.Settings)
 		v.Pool, v.Engine = pool, !service
@@ -94,7 +94,7 @@
 	})
 	f.Agents = append(f.Agents, a)
 	ctx, a.stop = context.WithCancel(ctx)
-	f.run(ctx, a.host, a.ended)
+	f.run(ctx, a.host, a.done)
 	return nil
 }
 
@@ -106,7 +106,7 @@
 	}
 	ctx, kill := context.WithCancel(ctx)
 	ended := make(chan struct{})
-	a.engine = func() {
+	a.stopEngine = func() {
 		kill()
 		<-ended
 	}
--- a/internal/fleet/content.go
+++ b/internal/fleet/content.go
@@ -12,7 +12,7 @@
 	"github.com/springrail/springrail/internal/manifest"
 )
 
-// Publish puts random content of a size at the origin and returns the version that pins it.
+// Publish uploads random content of a size to the origin and returns the version that pins its manifest, and the content.
 func (f *Fleet) Publish(name string, size, chunk int) (*pb.Version, []byte, error) {
 	content := make([]byte, size)
 	r := rand.NewChaCha8(sha256.Sum256([]byte(fmt.Sprint(f.size.Seed, name))))
@@ -35,7 +35,7 @@
 	}, content, nil
 }
 
-// Append writes a change to the log as an entry would.
+// Append appends a change to the log, as an entry does.
 func (f *Fleet) Append(c *pb.Change) error {
 	data, err := proto.Marshal(&pb.Record{Body: &pb.Record_Change{Change: c}})
 	if err != nil {
@@ -45,15 +45,15 @@
 	return nil
 }
 
-// CreateRollout writes the organisation, if it is new, and a rollout of a version.
+// CreateRollout appends a rollout of a version. If first is set, it appends the organisation before.
 func (f *Fleet) CreateRollout(v *pb.Version, o pb.Objective, first bool, base uint64) error {
 	if first {
 		err := f.Append(&pb.Change{
 			ChangeId: "organisation", Organisation: Organisation,
 			Operation: &pb.Change_PutOrganisation{PutOrganisation: &pb.PutOrganisation{
 				Organisation: &pb.Organisation{
-					Id: Organisation, Objective: o, OperatorTokenSha256: hash(OperatorToken),
-					CallerKeySha256: hash(CallerKey),
+					Id: Organisation, Objective: o, OperatorTokenSha256: secretHash(OperatorToken),
+					CallerKeySha256: secretHash(CallerKey),
 				},
 			}},
 		})
@@ -69,12 +69,12 @@
 	})
 }
 
-func hash(secret string) [][]byte {
+func secretHash(secret string) [][]byte {
 	sum := sha256.Sum256([]byte(secret))
 	return [][]byte{sum[:]}
 }
 
-// KeyHash is the hash of the organisation's caller key.
+// KeyHash returns the hash of the organisation's caller key.
 func (f *Fleet) KeyHash() [][]byte {
-	return hash(CallerKey)
+	return secretHash(CallerKey)
 }
--- a/internal/fleet/entry.go
+++ b/internal/fleet/entry.go
@@ -19,19 +19,19 @@
 	"github.com/springrail/springrail/internal/status"
 )
 
-// Entry is an entry of a serving fleet.
+// Entry is a running entry process. Its API addresses are set in a serving fleet only.
 type Entry struct {
 	VM id.VM
-	// Caller and Operator are the base URLs of its APIs.
+	// Caller and Operator are the base URLs of the caller API and the operator API.
 	Caller, Operator string
 	host             *kernel.Host
-	ended            chan struct{}
+	done             chan struct{}
 }
 
-// Leave stops the entry as an operator does and waits until it has ended.
+// Leave stops the entry as a planned stop does, and waits until it has ended.
 func (e *Entry) Leave() {
 	e.host.Leave()
-	<-e.ended
+	<-e.done
 }
 
 func (f *Fleet) addEntry(ctx context.Context, i int) error {
@@ -39,14 +39,14 @@
 	if err != nil {
 		return err
 	}
-	e := &Entry{VM: id.VM(fmt.Sprintf("entry-%d", i)), ended: make(chan struct{})}
+	e := &Entry{VM: id.VM(fmt.Sprintf("entry-%d", i)), done: make(chan struct{})}
 	dial, clock := (&net.Dialer{}).DialContext, f.clock(i)
 	s := rpc.NewShaped(l, dial, clock)
 	parts := slices.Clone(entryParts)
 	if f.size.Serving {
 		parts = append(parts, servingEntryParts...)
 	}
-	e.host, err = f.hostOf(string(e.VM), f.domain(i), parts, clock, s, dial, func(m map[string]kernel.Section) {
+	e.host, err = f.newHost(string(e.VM), f.domain(i), parts, clock, s, dial, func(m map[string]kernel.Section) {
 		n := m["membership"].(*membership.Settings)
 		n.ListEvery, n.GossipEvery, n.FarEvery = 200*time.Millisecond, 200*time.Millisecond, 300*time.Millisecond
 		if f.size.Serving {
@@ -69,6 +69,6 @@
 	f.listed = append(f.listed, standin.ListedVM{
 		ID: string(e.VM), Domain: string(f.domain(i)), Role: membership.RoleEntry, Address: s.Address(),
 	})
-	f.run(ctx, e.host, e.ended)
+	f.run(ctx, e.host, e.done)
 	return nil
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet runs a small springrail in one process: stand-ins for the platform and the upstreams, real entries and
-// agents, and a shaped link for each VM. Experiments and the tests of the whole path use it.
+// Package fleet runs a small springrail deployment in one process: simulated platform and upstreams, real entries and
+// agents, and a bandwidth-limited link for each VM. Experiments and end-to-end tests use it.
 package fleet
 
 import (
@@ -42,37 +42,37 @@
 	CallerKey     = "gym-caller"
 )
 
-// Options is what a fleet is made of.
+// Options are the size and parameters of a fleet.
 type Options struct {
 	VMs, Domains int
-	// LinkBytesPerSecond is a VM's link; the origin's is OriginLinks of them.
+	// LinkBytesPerSecond is the bandwidth of a VM's link; the origin has OriginLinks times as much.
 	LinkBytesPerSecond float64
 	OriginLinks        float64
 	HalfDuplex         bool
 	Seed               uint64
 	Swarm              *transfer.Settings
 	ListLag            time.Duration
-	// Skew is how far the clocks of neighbouring VMs are apart.
+	// Skew is the clock difference between neighbouring VMs.
 	Skew time.Duration
 	// Serving adds an engine to each agent, the APIs to the entries, and a plain service.
 	Serving bool
 	Engine  standin.EngineSettings
 }
 
-// Fleet is a platform, an entry per failure domain and agents, all in this process over loopback.
+// Fleet is a simulated platform, an entry per failure domain, and agents, all in this process over loopback.
 type Fleet struct {
 	Platform *standin.Platform
-	// PlatformURL is the platform's URL.
+	// PlatformURL is the base URL of the platform.
 	PlatformURL string
-	Agents  []*Agent
-	Entries []*Entry
-	// Goroutines counts what must have ended before Close returns.
+	Agents      []*Agent
+	Entries     []*Entry
+	// Goroutines counts the goroutines that Close waits for.
 	Goroutines  sync.WaitGroup
-	size     Options
-	listed   []standin.ListedVM
-	domainOf sync.Map
-	cut      atomic.Pointer[id.Domain]
-	stop     context.CancelFunc
+	size        Options
+	listed      []standin.ListedVM
+	domainOf    sync.Map
+	partitioned atomic.Pointer[id.Domain]
+	stop        context.CancelFunc
 }
 
 // New starts a fleet; Close ends it.
@@ -108,7 +108,7 @@
 	return f, nil
 }
 
-// Close ends all parts.
+// Close stops the fleet and waits until all of its parts have ended.
 func (f *Fleet) Close() {
 	f.stop()
 	f.Goroutines.Wait()
@@ -118,26 +118,26 @@
 	return id.Domain(fmt.Sprintf("domain-%d", i%f.size.Domains))
 }
 
-// reachable is false between a domain that is cut off and the others.
+// reachable returns false for two failure domains that a partition separates.
 func (f *Fleet) reachable(from, to id.Domain) bool {
-	c := f.cut.Load()
+	c := f.partitioned.Load()
 	return c == nil || from == to || (from != *c && to != *c)
 }
 
-// Partition cuts a domain from all others, and from the platform's origin.
+// Partition separates a failure domain from all others. Its existing connections to them are closed.
 func (f *Fleet) Partition(d id.Domain) {
-	f.cut.Store(&d)
+	f.partitioned.Store(&d)
 	for _, a := range f.Agents {
-		a.Link.breakConns(func(c *shapedConn) bool { return c.to != "" && !f.reachable(a.Domain, c.to) })
+		a.Link.closeConns(func(c *shapedConn) bool { return c.to != "" && !f.reachable(a.Domain, c.to) })
 	}
 }
 
-// HealPartition ends a cut.
+// HealPartition ends a partition.
 func (f *Fleet) HealPartition() {
-	f.cut.Store(nil)
+	f.partitioned.Store(nil)
 }
 
-// Dialer makes connections from an agent's VM.
+// Dialer returns a dial function for connections from an agent's VM.
 func (f *Fleet) Dialer(a *Agent) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return a.Link.dialer(f.lookup)
 }
@@ -150,7 +150,7 @@
 	return d.(id.Domain), true
 }
 
-// clock makes the clock of the i-th VM: one third is behind, one third ahead.
+// clock returns the clock of the i-th VM: one third of the clocks is slow by Skew, one third is fast by Skew.
 func (f *Fleet) clock(i int) *kernel.Clock {
 	skew := time.Duration(i%3-1) * f.size.Skew
 	return kernel.NewClock(func() time.Time { return time.Now().Add(skew) })
@@ -160,9 +160,9 @@
 	return &log.Logger{Level: log.ErrorLevel, Writer: &log.IOWriter{Writer: io.Discard}}
 }
 
-// hostOf makes the named parts of the binaries, over a server and a platform client of the experiment's.
-func (f *Fleet) hostOf(vm string, d id.Domain, names []string, clock *kernel.Clock, s *rpc.Server, dial func(ctx context.Context, network, address string) (net.Conn, error),
-	change func(sections map[string]kernel.Section),
+// newHost creates a host with the named parts of the real binaries, using the fleet's server and platform client.
+func (f *Fleet) newHost(vm string, d id.Domain, names []string, clock *kernel.Clock, s *rpc.Server, dial func(ctx context.Context, network, address string) (net.Conn, error),
+	configure func(sections map[string]kernel.Section),
 ) (*kernel.Host, error) {
 	wanted := map[string]bool{}
 	for _, n := range names {
@@ -183,18 +183,18 @@
 	sections := kernel.Sections(parts)
 	p := sections["process"].(*kernel.Process)
 	p.VM, p.Domain = vm, string(d)
-	change(sections)
+	configure(sections)
 	return kernel.NewHost(parts, sections, quietLog(), clock)
 }
 
-func (f *Fleet) run(ctx context.Context, h *kernel.Host, ended chan struct{}) {
+func (f *Fleet) run(ctx context.Context, h *kernel.Host, done chan struct{}) {
 	f.Goroutines.Go(func() {
-		defer close(ended)
+		defer close(done)
 		_ = h.Run(ctx)
 	})
 }
 
-// listen opens a loopback listener of any port.
+// listen opens a loopback listener on a port that the system chooses.
 func listen() (net.Listener, error) {
 	return net.Listen("tcp", "127.0.0.1:0")
 }
@@ -215,14 +215,14 @@
 	return f.Entries[entry].host.Part(rpc.PartName).(*rpc.Server).Config(f.listed[entry].Address)
 }
 
-// UpdateVMList shows the VM list anew, as change makes it.
+// UpdateVMList publishes the VM list as change modifies it.
 func (f *Fleet) UpdateVMList(change func(vms []standin.ListedVM)) {
 	l := slices.Clone(f.listed)
 	change(l)
 	f.Platform.VMs.Set(l)
 }
 
-// WaitReady waits until each agent knows all VMs.
+// WaitReady waits until each agent is ready and knows all VMs.
 func (f *Fleet) WaitReady(ctx context.Context) error {
 	for _, a := range f.Agents {
 		for !a.Follower.Ready() || len(a.Follower.List.Get().GetVms()) < len(f.listed) {
--- a/internal/fleet/fleet_suite_test.go
+++ b/internal/fleet/fleet_suite_test.go
@@ -7,5 +7,5 @@
 )
 
 func TestFleet(t *testing.T) {
-	spec.Run(t, "The whole path")
+	spec.Run(t, "End to end")
 }
--- a/internal/fleet/link.go
+++ b/internal/fleet/link.go
@@ -14,25 +14,26 @@
 )
 
 const (
-	// pieceBytes is the piece that shaping works on; at 4 MB/s one takes 1 ms.
-	pieceBytes = 4 << 10
-	// payloadWrite is the length from which a write is taken for chunk bytes when a link damages them.
-	payloadWrite = 8 << 10
+	// burstBytes is the burst size of the bandwidth limiters, and the size of each read and write; at 4 MB/s one takes 1
+	// ms.
+	burstBytes = 4 << 10
+	// minPayloadWrite is the size from which a write is assumed to contain chunk bytes, which a corrupting link damages.
+	minPayloadWrite = 8 << 10
 )
 
-// errCut says that a link is cut.
-var errCut = errors.New("link cut")
+// errLinkCut is returned for connections over a link that is cut.
+var errLinkCut = errors.New("link cut")
 
-// Link is a VM's link: what goes out and what comes in are shaped apart, or by one bucket.
+// Link is the simulated network link of a VM. Outgoing and incoming traffic have separate bandwidth limits, or share one.
 type Link struct {
 	domain id.Domain
-	// Uplink and Downlink are the buckets; one and the same for half duplex.
+	// Uplink and Downlink are the token buckets of both directions; they are the same bucket for half duplex.
 	Uplink, Downlink *rate.Limiter
-	// Bytes counts both directions.
+	// Bytes counts the traffic of both directions.
 	Bytes atomic.Int64
-	// Corrupt damages chunk bytes that go out; Disconnected takes and makes no connections.
+	// Corrupt damages outgoing chunk bytes; Disconnected refuses to accept and to make connections.
 	Corrupt, Disconnected atomic.Bool
-	// reachable says whether a failure domain can be reached now.
+	// reachable reports whether one failure domain can reach another now.
 	reachable func(from, to id.Domain) bool
 	mu        sync.Mutex
 	conns     map[*shapedConn]bool
@@ -40,45 +41,46 @@
 
 func newLink(d id.Domain, bytesPerSecond float64, halfDuplex bool, reachable func(from, to id.Domain) bool) *Link {
 	l := &Link{
-		domain: d, Uplink: rate.NewLimiter(rate.Limit(bytesPerSecond), pieceBytes), reachable: reachable,
+		domain: d, Uplink: rate.NewLimiter(rate.Limit(bytesPerSecond), burstBytes), reachable: reachable,
 		conns: map[*shapedConn]bool{},
 	}
 	l.Downlink = l.Uplink
 	if !halfDuplex {
-		l.Downlink = rate.NewLimiter(rate.Limit(bytesPerSecond), pieceBytes)
+		l.Downlink = rate.NewLimiter(rate.Limit(bytesPerSecond), burstBytes)
 	}
 	return l
 }
 
-// SetRate changes the speed of both directions.
+// SetRate changes the bandwidth of both directions.
 func (l *Link) SetRate(bytesPerSecond float64) {
 	l.Uplink.SetLimit(rate.Limit(bytesPerSecond))
 	l.Downlink.SetLimit(rate.Limit(bytesPerSecond))
 }
 
-// Kill ends the VM: its connections break and it takes none.
+// Kill ends the VM: its connections are closed and no new ones are accepted.
 func (l *Link) Kill() {
 	l.Disconnected.Store(true)
-	l.breakConns(func(*shapedConn) bool { return true })
+	l.closeConns(func(*shapedConn) bool { return true })
 }
 
-func (l *Link) breakConns(which func(c *shapedConn) bool) {
+func (l *Link) closeConns(match func(c *shapedConn) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
-		if which(c) {
+		if match(c) {
 			_ = c.Conn.Close()
 		}
 	}
 }
 
-// dialer makes connections from this VM. The address's domain is found by lookup; unknown ones are always reached.
+// dialer returns a dial function for this VM. lookup returns the failure domain of an address; unknown addresses are
+// always reachable.
 func (l *Link) dialer(lookup func(address string) (id.Domain, bool)) func(ctx context.Context, network, address string) (net.Conn, error) {
 	d := &net.Dialer{Timeout: 2 * time.Second}
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		to, known := lookup(address)
 		if l.Disconnected.Load() || known && !l.reachable(l.domain, to) {
-			return nil, &net.OpError{Op: "dial", Net: network, Err: errCut}
+			return nil, &net.OpError{Op: "dial", Net: network, Err: errLinkCut}
 		}
 		c, err := d.DialContext(ctx, network, address)
 		if err != nil {
@@ -88,7 +90,7 @@
 	}
 }
 
-// Listener accepts connections over the link.
+// Listener returns a listener whose connections use the link.
 func (l *Link) Listener(on net.Listener) net.Listener {
 	return shapedListener{Listener: on, link: l}
 }
@@ -121,7 +123,7 @@
 	}
 }
 
-// shapedConn takes tokens of its VM's link for each byte.
+// shapedConn is a connection that takes a token from its VM's link for each byte.
 type shapedConn struct {
 	net.Conn
 	link *Link
@@ -130,25 +132,25 @@
 
 // Read implements net.Conn.
 func (c *shapedConn) Read(b []byte) (int, error) {
-	n, err := c.Conn.Read(b[:min(len(b), pieceBytes)])
+	n, err := c.Conn.Read(b[:min(len(b), burstBytes)])
 	c.link.Bytes.Add(int64(n))
 	if n > 0 && c.link.Downlink.WaitN(context.Background(), n) != nil {
-		return n, errCut
+		return n, errLinkCut
 	}
 	return n, err
 }
 
 // Write implements net.Conn.
 func (c *shapedConn) Write(b []byte) (int, error) {
-	if c.link.Corrupt.Load() && len(b) >= payloadWrite {
+	if c.link.Corrupt.Load() && len(b) >= minPayloadWrite {
 		b = append([]byte(nil), b...)
 		b[len(b)/2] ^= 0xff
 	}
 	written := 0
 	for written < len(b) {
-		piece := b[written:min(written+pieceBytes, len(b))]
+		piece := b[written:min(written+burstBytes, len(b))]
 		if c.link.Uplink.WaitN(context.Background(), len(piece)) != nil {
-			return written, errCut
+			return written, errLinkCut
 		}
 		n, err := c.Conn.Write(piece)
 		written += n
--- a/internal/fleet/operator_test.go
+++ b/internal/fleet/operator_test.go
@@ -18,7 +18,7 @@
 	"github.com/springrail/springrail/internal/standin"
 )
 
-// operate runs the operators' command line and returns its exit code and what it printed.
+// operate runs the operators' command line and returns its exit code, output and error output.
 func operate(e *fleet.Entry, token string, args ...string) (code int, text, problems string) {
 	var out, bad bytes.Buffer
 	code = cmd.Operator(append([]string{"--server", e.Operator, "--token", token}, args...), &out, &bad)
@@ -26,7 +26,7 @@
 }
 
 var _ = Describe("operators", func() {
-	It("create, follow, cancel and see only what is theirs", func() {
+	It("create, follow and cancel rollouts, and have access to their own organisation only", func() {
 		f := start(2, 32*megabyte, nil)
 		e := f.Entries[0]
 		for _, o := range []string{"gym", "hut"} {
@@ -79,11 +79,11 @@
 			"--version-name", "v2", "--source", "gym/desk/v2")
 		Expect(code).To(Equal(cmd.ExitDone), bad)
 		Eventually(live(f, "v2"), "20s", "10ms").Should(Equal(1))
-		drawn := f.Platform.Origin.BytesSent()
+		sentBefore := f.Platform.Origin.BytesSent()
 		code, back, bad := operate(e, fleet.OperatorToken, "-o", "gym", "rollout", "rollback", strings.TrimSpace(rollout))
 		Expect(code).To(Equal(cmd.ExitDone), bad)
 		Eventually(live(f, "v1"), "20s", "10ms").Should(Equal(1))
-		Expect(f.Platform.Origin.BytesSent()).To(Equal(drawn), "from what is still held")
+		Expect(f.Platform.Origin.BytesSent()).To(Equal(sentBefore), "the rollback uses the weights that the agents still hold")
 		code, text, _ := operate(e, fleet.OperatorToken, "-o", "gym", "--output", "json", "rollout", "status", strings.TrimSpace(back))
 		Expect(code).To(Equal(cmd.ExitDone))
 		Expect(text).To(ContainSubstring(`"rolled_back_from": "` + strings.TrimSpace(rollout)))
@@ -92,7 +92,7 @@
 		Expect(text).To(ContainSubstring("serves desk v1"))
 	})
 
-	It("are told that an outcome is unknown, never that it was refused, and can ask again", func() {
+	It("get an unknown outcome instead of a refusal when the log fails, and can query the change afterwards", func() {
 		f := start(1, 32*megabyte, nil)
 		client := springrailv1connect.NewOperatorServiceClient(&http.Client{}, f.Entries[0].Operator,
 			connect.WithInterceptors(bearer(fleet.AdminToken)))
@@ -107,11 +107,11 @@
 		f.Platform.Log.SetFaults(standin.LogFaults{Outage: true})
 		Expect(connect.CodeOf(put("c1", 700*time.Millisecond))).To(Equal(connect.CodeDeadlineExceeded))
 		f.Platform.Log.SetFaults(standin.LogFaults{LoseAnswers: 1})
-		Expect(put("c2", 10*time.Second)).To(Succeed(), "an append whose answer was lost is read back")
+		Expect(put("c2", 10*time.Second)).To(Succeed(), "an append whose answer was lost is found by reading the log")
 		a, err := client.GetChange(context.Background(), &pb.GetChangeRequest{Organisation: "hut", ChangeId: "c2"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(a.GetOutcome().GetAccepted()).To(BeTrue())
-		Expect(connect.CodeOf(put("c3", 10*time.Second))).To(Equal(connect.CodeFailedPrecondition), "another base revision")
+		Expect(connect.CodeOf(put("c3", 10*time.Second))).To(Equal(connect.CodeFailedPrecondition), "the base revision is outdated")
 	})
 
 	It("get typed errors for malformed calls", func() {
@@ -129,7 +129,7 @@
 	})
 })
 
-// bearer puts a token on calls.
+// bearer returns an interceptor that adds a bearer token to calls.
 func bearer(token string) connect.Interceptor {
 	return connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, r connect.AnyRequest) (connect.AnyResponse, error) {
--- a/internal/fleet/request_test.go
+++ b/internal/fleet/request_test.go
@@ -15,7 +15,7 @@
 	"github.com/springrail/springrail/internal/standin"
 )
 
-// serving runs a fleet on which a version is live.
+// serving starts a fleet and waits until all of its agents serve the first version.
 func serving(vms int, change func(s *fleet.Options)) *fleet.Fleet {
 	f := start(vms, 32*megabyte, change)
 	publish(f, "v1", megabyte, 0)
@@ -27,7 +27,7 @@
 	return f
 }
 
-// call sends a call that may not be repeated to the plain service.
+// call sends a request that must not be retried to the plain service.
 func call(e *fleet.Entry, path, key string) answer {
 	if key == "" {
 		return send(http.MethodPost, e.Caller+"/svc/"+fleet.Service+"/"+path, []byte("x"))
@@ -40,7 +40,7 @@
 }
 
 var _ = Describe("a request", func() {
-	It("needs a caller's key, a body that can be read, and a model that is there", func() {
+	It("needs a valid caller key, a well-formed body and an available model", func() {
 		f := serving(1, func(s *fleet.Options) { s.Domains = 1 })
 		e := f.Entries[0]
 		Expect(send(http.MethodPost, e.Caller+"/v1/chat/completions", []byte(`{"model":"desk"}`), "Authorization", "").status).To(Equal(http.StatusUnauthorized))
@@ -53,7 +53,7 @@
 		Expect(send(http.MethodGet, e.Caller+"/v1/models", nil).body).To(ContainSubstring(`"id":"desk"`))
 	})
 
-	It("whose answer is crossed, cut or of another version is never passed on as whole", func() {
+	It("is never answered as complete if the upstream's answer belongs to another request or version or is truncated", func() {
 		f := serving(1, func(s *fleet.Options) { s.Domains = 1 })
 		e, engine := f.Entries[0], f.Agents[0].Engine
 		for name, fault := range map[string]standin.EngineFaults{
@@ -75,7 +75,7 @@
 		Expect(ask(e, true).ended).To(BeTrue())
 	})
 
-	It("that may not be repeated runs once, however often and wherever it is sent", func() {
+	It("with an idempotency key runs once, however often and through whichever entry it is sent", func() {
 		f := serving(1, nil)
 		service(f).Service.SetFaults(standin.ServiceFaults{DelayMs: 50})
 		var wait sync.WaitGroup
@@ -99,7 +99,7 @@
 		Expect(service(f).Service.Runs("k1")).To(Equal(1))
 	})
 
-	It("of a key whose home has died is not run elsewhere while the platform lists the home", func() {
+	It("with an idempotency key is not run elsewhere while the platform still lists the dead VM that ran it", func() {
 		f := serving(3, func(s *fleet.Options) { s.Domains = 1 })
 		e := f.Entries[0]
 		body := []byte(`{"model":"desk","max_tokens":2,"messages":[]}`)
@@ -127,10 +127,10 @@
 			Expect(a.body).To(ContainSubstring("an earlier send may have been run"))
 		}
 		Expect(runs()).To(Equal(before))
-		Expect(ask(e, false).status).To(Equal(http.StatusOK), "other requests go on")
+		Expect(ask(e, false).status).To(Equal(http.StatusOK), "other requests are still served")
 	})
 
-	It("whose answer is lost has an unknown outcome and is not run again", func() {
+	It("whose answer is lost gets an unknown outcome and is not run again", func() {
 		f := serving(1, nil)
 		service(f).Service.SetFaults(standin.ServiceFaults{LoseAnswers: 1})
 		a := call(f.Entries[0], "freeze", "k2")
@@ -140,7 +140,7 @@
 		Expect(service(f).Service.Runs("k2")).To(Equal(1))
 	})
 
-	It("that was not run is said so, and did not run", func() {
+	It("that cannot reach its upstream is answered as not run, and has not run", func() {
 		f := serving(1, nil)
 		service(f).KillEngine()
 		a := call(f.Entries[0], "freeze", "k3")
@@ -149,7 +149,7 @@
 		Expect(service(f).Service.Runs("k3")).To(BeZero())
 	})
 
-	It("over the organisation's limit is refused at once with the time to come back", func() {
+	It("over the organisation's rate limit is refused at once with a Retry-After", func() {
 		f := serving(1, func(s *fleet.Options) { s.Domains = 1 })
 		Expect(f.Append(&pb.Change{
 			ChangeId: "limit", Organisation: fleet.Organisation, BaseRevision: 1,
@@ -166,7 +166,7 @@
 		Expect(refused.header.Get("Springrail-Outcome")).To(Equal("not-run"))
 	})
 
-	It("is cut by no planned stop of an agent or an entry, and a leaving upstream gets no new work", func() {
+	It("is not aborted by a planned stop of an agent, and a leaving upstream gets no new requests", func() {
 		f := serving(3, func(s *fleet.Options) { s.Domains = 1 })
 		stop := make(chan struct{})
 		var wait sync.WaitGroup
@@ -202,7 +202,7 @@
 		Expect(f.Agents[2].Engine.Stats().Runs).NotTo(BeEmpty())
 	})
 
-	It("goes on while the platform is away", func() {
+	It("is served during an outage of the platform", func() {
 		f := serving(2, nil)
 		f.Platform.Log.SetFaults(standin.LogFaults{Outage: true})
 		f.Platform.VMs.SetOutage(true)
--- a/internal/fleet/rollout_test.go
+++ b/internal/fleet/rollout_test.go
@@ -26,7 +26,7 @@
 	chunk    = 32 << 10
 )
 
-// start runs a serving fleet; the spec's end closes it.
+// start starts a serving fleet that is closed at the end of the test.
 func start(vms int, link float64, change func(s *fleet.Options)) *fleet.Fleet {
 	speeds := standin.DefaultEngine()
 	speeds.Step = time.Millisecond
@@ -46,7 +46,7 @@
 	return f
 }
 
-// publish puts a version at the origin and makes it current.
+// publish uploads a version to the origin and creates a rollout of it.
 func publish(f *fleet.Fleet, name string, size int, base uint64) (*pb.Version, []byte) {
 	v, content, err := f.Publish(name, size, chunk)
 	Expect(err).NotTo(HaveOccurred())
@@ -54,7 +54,7 @@
 	return v, content
 }
 
-// answer is what a caller got.
+// answer is the answer that a caller received.
 type answer struct {
 	status  int
 	header  http.Header
@@ -64,7 +64,7 @@
 	version string
 }
 
-// ask sends a chat completion through an entry.
+// ask sends a chat completion request through an entry.
 func ask(e *fleet.Entry, stream bool) answer {
 	body, _ := json.Marshal(map[string]any{
 		"model": fleet.Model, "stream": stream, "max_tokens": 8, "messages": []map[string]string{{"role": "user", "content": "hello"}},
@@ -95,7 +95,7 @@
 	return got
 }
 
-// live counts the agents that announce a version.
+// live returns a function that counts the agents which announce a version as live.
 func live(f *fleet.Fleet, version string) func() int {
 	return func() int {
 		n := 0
@@ -110,22 +110,23 @@
 	}
 }
 
-// held is the most chunks that any agent holds of a version, in hundredths.
+// held returns a function that reports the percentage of a version's chunks held by the agent that holds most.
 func held(f *fleet.Fleet, name string) func() int {
 	return func() int {
-		most := 0
+		maxPercent := 0
 		for _, a := range f.Agents {
 			if h := a.Manager.Holding(id.Rollout("rollout-" + name)); h != nil {
 				if have, all := h.Count(); all > 0 {
-					most = max(most, have*100/all)
+					maxPercent = max(maxPercent, have*100/all)
 				}
 			}
 		}
-		return most
+		return maxPercent
 	}
 }
 
-// watchCallers asks all the time; the result says which versions answered, and fails on a mixed or cut answer.
+// watchCallers sends requests continuously and fails on an answer of mixed versions or of missing tokens. The returned
+// function stops it and returns the number of answers by version.
 func watchCallers(f *fleet.Fleet) func() map[string]int {
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan map[string]int)
@@ -136,7 +137,7 @@
 			a := ask(f.Entries[i%len(f.Entries)], true)
 			if a.status == http.StatusOK && a.ended {
 				for _, t := range a.tokens {
-					Expect(t).To(Equal(a.version), "an answer of mixed weights")
+					Expect(t).To(Equal(a.version), "the answer mixes versions")
 				}
 				Expect(a.tokens).To(HaveLen(8))
 				seen[a.version]++
@@ -159,11 +160,11 @@
 }
 
 var _ = Describe("a rollout", func() {
-	It("reaches all VMs, goes live, and callers get whole answers from it", func() {
+	It("reaches all VMs, goes live, and answers callers completely", func() {
 		f := start(4, 32*megabyte, nil)
 		v, _ := publish(f, "v1", megabyte, 0)
 		Eventually(live(f, "v1"), "20s", "10ms").Should(Equal(4))
-		Expect(loadsOf(f, v)).To(Equal(4), "each engine checked all bytes against the pinned manifest")
+		Expect(loadsOf(f, v)).To(Equal(4), "each engine has verified all bytes against the pinned manifest")
 		Expect(f.Platform.Origin.BytesSent()).To(BeNumerically("<=", megabyte*11/10))
 		for _, e := range f.Entries {
 			Eventually(func() int { return ask(e, false).status }, "5s", "20ms").Should(Equal(http.StatusOK))
@@ -174,7 +175,7 @@
 		}
 	})
 
-	It("never serves partial weights when an agent is killed in mid-transfer", func() {
+	It("never serves partial weights when an agent is killed during the transfer", func() {
 		f := start(4, megabyte, nil)
 		seen := watchCallers(f)
 		_, content := publish(f, "v1", 2*megabyte, 0)
@@ -190,7 +191,7 @@
 		Expect(seen()).To(HaveKey("v1"))
 	})
 
-	It("takes no request while an engine loads, nor after it has failed or been killed in mid-load", func() {
+	It("gets no requests while its engine loads, nor after the load has failed or the engine was killed", func() {
 		f := start(2, 32*megabyte, func(s *fleet.Options) { s.Domains, s.Engine.LoadTime = 1, 500*time.Millisecond })
 		f.Agents[0].Engine.SetFaults(standin.EngineFaults{FailLoads: true})
 		publish(f, "v1", megabyte, 0)
@@ -206,7 +207,7 @@
 		Eventually(live(f, "v1"), "10s", "20ms").Should(Equal(1))
 	})
 
-	It("never mixes in content that is swapped under the version at the origin", func() {
+	It("rejects content that is replaced under the same version at the origin", func() {
 		f := start(3, megabyte, func(s *fleet.Options) { s.Domains = 1 })
 		seen := watchCallers(f)
 		_, content := publish(f, "v1", megabyte, 0)
@@ -217,18 +218,18 @@
 		for _, a := range f.Agents {
 			rejected += a.Manager.Counters().Corrupt
 		}
-		Expect(rejected).To(BeNumerically(">", 0), "the swap hit the transfer")
+		Expect(rejected).To(BeNumerically(">", 0), "the content was replaced during the transfer")
 		Expect(live(f, "v1")()).To(BeZero())
 		f.Platform.Origin.SetFaults(standin.WeightsFaults{})
 		Eventually(live(f, "v1"), "30s", "10ms").Should(Equal(3))
 		for _, a := range f.Agents[:3] {
 			Expect(contentOf(a, "v1")).To(Equal(content))
 		}
-		Expect(f.Platform.Origin.BytesSent()).To(BeNumerically("<=", 3*megabyte), "the budget holds")
+		Expect(f.Platform.Origin.BytesSent()).To(BeNumerically("<=", 3*megabyte), "the origin's egress stays within its budget")
 		seen()
 	})
 
-	It("ends a transfer that a new rollout supersedes, and serves only whole versions", func() {
+	It("ends the transfer of a superseded version, and serves only complete versions", func() {
 		f := start(4, megabyte, nil)
 		seen := watchCallers(f)
 		publish(f, "v1", 2*megabyte, 0)
@@ -242,30 +243,30 @@
 		Expect(seen()).NotTo(HaveKey("v1"))
 	})
 
-	It("swaps in waves and keeps serving", func() {
+	It("swaps versions in waves without interrupting service", func() {
 		f := start(4, 32*megabyte, func(s *fleet.Options) { s.Domains, s.Engine.LoadTime = 1, 100*time.Millisecond })
 		publish(f, "v1", megabyte, 0)
 		Eventually(live(f, "v1"), "20s", "10ms").Should(Equal(4))
 		Eventually(func() int { return ask(f.Entries[0], false).status }, "5s", "20ms").Should(Equal(http.StatusOK))
 		publish(f, "v2", megabyte, 2)
-		least, refused := 4, 0
+		minLive, refused := 4, 0
 		for live(f, "v2")() < 4 {
-			least = min(least, live(f, "v1")()+live(f, "v2")())
+			minLive = min(minLive, live(f, "v1")()+live(f, "v2")())
 			if ask(f.Entries[0], false).status != http.StatusOK {
 				refused++
 			}
 		}
-		Expect(least).To(BeNumerically(">=", 3), "one of four may swap at one time")
+		Expect(minLive).To(BeNumerically(">=", 3), "at most one of four agents may swap at a time")
 		Expect(refused).To(BeZero())
 	})
 
-	It("is undone by a rollback, from what is still held", func() {
+	It("is reverted by a rollback that uses the weights still held", func() {
 		f := start(2, 32*megabyte, func(s *fleet.Options) { s.Domains = 1 })
 		v1, _ := publish(f, "v1", megabyte, 0)
 		Eventually(live(f, "v1"), "20s", "10ms").Should(Equal(2))
 		publish(f, "v2", megabyte, 2)
 		Eventually(live(f, "v2"), "20s", "10ms").Should(Equal(2))
-		drawn := f.Platform.Origin.BytesSent()
+		sentBefore := f.Platform.Origin.BytesSent()
 		Expect(f.Append(&pb.Change{
 			ChangeId: "back", Organisation: fleet.Organisation, BaseRevision: 3,
 			Operation: &pb.Change_CreateRollout{CreateRollout: &pb.CreateRollout{Rollout: &pb.Rollout{
@@ -273,7 +274,7 @@
 			}}},
 		})).To(Succeed())
 		Eventually(live(f, "v1"), "20s", "10ms").Should(Equal(2))
-		Expect(f.Platform.Origin.BytesSent()).To(Equal(drawn))
+		Expect(f.Platform.Origin.BytesSent()).To(Equal(sentBefore))
 	})
 })
 
--- a/internal/fleet/timeline_test.go
+++ b/internal/fleet/timeline_test.go
@@ -15,8 +15,8 @@
 	"github.com/springrail/springrail/internal/fleet"
 )
 
-var _ = Describe("the time line", func() {
-	It("is in causal order over all processes, with clocks that are seconds apart", func() {
+var _ = Describe("the timeline", func() {
+	It("orders the events of all processes causally although their clocks differ by seconds", func() {
 		f := start(4, 32*megabyte, func(s *fleet.Options) { s.Skew = 5 * time.Second })
 		client := springrailv1connect.NewOperatorServiceClient(&http.Client{}, f.Entries[1].Operator,
 			connect.WithInterceptors(bearer(fleet.AdminToken)))
