--- a/cmd/springrail-agent/main.go
+++ b/cmd/springrail-agent/main.go
@@ -1,4 +1,5 @@
-// Command springrail-agent brings versions onto an upstream VM and is the only door to its upstream.
+// Command springrail-agent runs on an upstream VM. It fetches model versions onto the VM and proxies all requests to the
+// VM's upstream.
 package main
 
 import (
--- a/cmd/springrail-entry/main.go
+++ b/cmd/springrail-entry/main.go
@@ -1,4 +1,4 @@
-// Command springrail-entry takes callers' and operators' requests on an entry VM.
+// Command springrail-entry runs on an entry VM and serves the callers' API and the operators' API.
 package main
 
 import (
--- a/cmd/springrail-gateway/main.go
+++ b/cmd/springrail-gateway/main.go
@@ -1,4 +1,4 @@
-// Command springrail-gateway passes callers' requests on to upstreams on a platform that has its own store.
+// Command springrail-gateway routes callers' requests to upstreams, on a platform that has its own store.
 package main
 
 import (
--- a/cmd/springrail-measure/main.go
+++ b/cmd/springrail-measure/main.go
@@ -1,4 +1,4 @@
-// Command springrail-measure runs experiments on real parts over loopback.
+// Command springrail-measure runs experiments with the production code over the loopback interface.
 package main
 
 import (
--- a/cmd/springrail-soak/main.go
+++ b/cmd/springrail-soak/main.go
@@ -1,5 +1,5 @@
-// Command springrail-soak runs gateways and stagers as processes over loopback under faults that are drawn by seed, and
-// checks what callers and upstreams see.
+// Command springrail-soak runs gateways and stagers as processes over loopback, injects faults drawn at random from a
+// seed, and checks the requests and responses that callers and upstreams receive.
 package main
 
 import (
--- a/cmd/springrail-stager/main.go
+++ b/cmd/springrail-stager/main.go
@@ -1,4 +1,5 @@
-// Command springrail-stager brings weights onto the upstream beside it on a platform that has its own store.
+// Command springrail-stager fetches model weights and loads them into the upstream on the same VM, on a platform that
+// has its own store.
 package main
 
 import (
--- a/cmd/springrail-standin/main.go
+++ b/cmd/springrail-standin/main.go
@@ -1,4 +1,5 @@
-// Command springrail-standin plays what springrail meets: the platform, model engines and plain services.
+// Command springrail-standin simulates the systems that springrail works with: the platform, model engines and plain
+// services.
 package main
 
 import (
--- a/cmd/springrail/main.go
+++ b/cmd/springrail/main.go
@@ -1,4 +1,4 @@
-// Command springrail is the operators' command line.
+// Command springrail is the command line tool for operators: it manages rollouts and organisations and shows their state.
 package main
 
 import (
--- a/internal/cmd/cmd_change.go
+++ b/internal/cmd/cmd_change.go
@@ -17,7 +17,7 @@
 	setup: func(c *kingpin.CmdClause) action {
 		name := c.Arg("change-id", "The change's ID.").Required().String()
 		return func(ctx context.Context, e *env) error {
-			if err := e.need(); err != nil {
+			if err := e.requireOrganisation(); err != nil {
 				return err
 			}
 			a, err := e.client.GetChange(ctx, &pb.GetChangeRequest{Organisation: e.organisation, ChangeId: *name})
--- a/internal/cmd/cmd_limits.go
+++ b/internal/cmd/cmd_limits.go
@@ -30,15 +30,15 @@
 					fmt.Fprintf(w, "%s\trests\tfor %s more\t%s\n", r.GetAddress(), left, r.GetInstance())
 				}
 				for _, l := range a.GetLeaving() {
-					fmt.Fprintf(w, "%s\tleaves\tby %s\t%s\n", l.GetAddress(), leavingBy[l.GetBy()], l.GetInstance())
+					fmt.Fprintf(w, "%s\tleaves\tby %s\t%s\n", l.GetAddress(), leavingSourceNames[l.GetBy()], l.GetInstance())
 				}
 			})
 		}
 	},
 }
 
-// leavingBy is who says that an upstream leaves.
-var leavingBy = map[pb.LeavingSource]string{
+// leavingSourceNames maps the source of an upstream's leaving announcement to its printed name.
+var leavingSourceNames = map[pb.LeavingSource]string{
 	pb.LeavingSource_LEAVING_SOURCE_ENTRY:  "its entry",
 	pb.LeavingSource_LEAVING_SOURCE_ANSWER: "its own answer",
 	pb.LeavingSource_LEAVING_SOURCE_STAGER: "the process beside it",
--- a/internal/cmd/cmd_losses.go
+++ b/internal/cmd/cmd_losses.go
@@ -11,8 +11,8 @@
 	"github.com/springrail/springrail/internal/losses"
 )
 
-// shownGroups is how many failure domains, routes or organisations a table shows: what fits on a screen.
-const shownGroups = "12"
+// defaultGroupRows is the default number of rows in each table of failure domains, routes and organisations; 12 fit on a screen.
+const defaultGroupRows = "12"
 
 var cmdLosses = command{
 	name: "losses",
@@ -20,7 +20,7 @@
 	setup: func(c *kingpin.CmdClause) action {
 		files := c.Arg("log", "Log files of any number of processes; none reads standard input.").Strings()
 		span := c.Flag("span", "Length of a row of the first table.").Default("1s").Duration()
-		most := c.Flag("most", "Rows of each further table, the worst first.").Default(shownGroups).Int()
+		most := c.Flag("most", "Rows of each further table, the worst first.").Default(defaultGroupRows).Int()
 		plot := c.Flag("plot", "File for a plot; its ending says the form, such as .svg or .png.").String()
 		return func(_ context.Context, e *env) error {
 			if *span < time.Millisecond || *most < 1 {
--- a/internal/cmd/cmd_manifest.go
+++ b/internal/cmd/cmd_manifest.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// wantedChunks is how many chunks a version should have: enough for the swarm's pipeline to be short against the
-	// whole, and few enough that a transfer of some minutes spends less than 14 KB/s on control, as each chunk costs
-	// about 3 KB of it (docs/MEASUREMENTS.md).
-	wantedChunks = 1000
-	leastChunk   = 64 << 10
-	mostChunk    = 256 << 20
+	// targetChunks is the intended maximum number of chunks of a version. It is large enough that filling the swarm's
+	// pipeline takes a small part of the transfer. It is small enough that a transfer of several minutes uses less than
+	// 14 KB/s for control messages, at about 3 KB per chunk (docs/MEASUREMENTS.md).
+	targetChunks  = 1000
+	minChunkBytes = 64 << 10
+	maxChunkBytes = 256 << 20
 )
 
-// chunkFor is the smallest power of two that cuts content into no more than the wanted chunks.
-func chunkFor(size int64) uint64 {
-	chunk := uint64(leastChunk)
-	for chunk < mostChunk && chunk*wantedChunks < uint64(size) {
+// chunkBytesFor returns the smallest power of two, within the chunk size limits, that splits content of a size into at
+// most targetChunks chunks.
+func chunkBytesFor(size int64) uint64 {
+	chunk := uint64(minChunkBytes)
+	for chunk < maxChunkBytes && chunk*targetChunks < uint64(size) {
 		chunk *= 2
 	}
 	return chunk
@@ -48,7 +49,7 @@
 				if err != nil {
 					return err
 				}
-				size = chunkFor(i.Size())
+				size = chunkBytesFor(i.Size())
 			}
 			m, err := manifest.New(f, size)
 			if err != nil {
--- a/internal/cmd/cmd_organisation.go
+++ b/internal/cmd/cmd_organisation.go
@@ -27,8 +27,8 @@
 		change := c.Flag("change-id", "Your ID for the change, to ask again with.").String()
 		return func(ctx context.Context, e *env) error {
 			o := &pb.Organisation{
-				Id: *name, OperatorTokenSha256: hashes(*tokens), CallerKeySha256: hashes(*keys),
-				Objective: objectiveOf(*objective),
+				Id: *name, OperatorTokenSha256: sha256Sums(*tokens), CallerKeySha256: sha256Sums(*keys),
+				Objective: parseObjective(*objective),
 				Limits:    &pb.Limits{Concurrency: *concurrency, RequestsPerSecond: *perSecond},
 			}
 			base, err := e.organisationRevision(ctx, *name)
@@ -96,7 +96,7 @@
 		objectiveName(o.GetObjective()), len(o.GetOperatorTokenSha256()), len(o.GetCallerKeySha256()))
 }
 
-func objectiveOf(s string) pb.Objective {
+func parseObjective(s string) pb.Objective {
 	switch s {
 	case "time":
 		return pb.Objective_OBJECTIVE_TIME
@@ -111,7 +111,7 @@
 	return strings.ReplaceAll(strings.ToLower(strings.TrimPrefix(o.String(), "OBJECTIVE_")), "_", "-")
 }
 
-func hashes(secrets []string) [][]byte {
+func sha256Sums(secrets []string) [][]byte {
 	var l [][]byte
 	for _, s := range secrets {
 		sum := sha256.Sum256([]byte(s))
--- a/internal/cmd/cmd_rollout.go
+++ b/internal/cmd/cmd_rollout.go
@@ -31,14 +31,14 @@
 		change := c.Flag("change-id", "Your ID for the change, to ask again with.").String()
 		revision := c.Flag("base-revision", "Revision of the model's current rollout that you saw; none reads it.").Int64()
 		return func(ctx context.Context, e *env) error {
-			if err := e.need(); err != nil {
+			if err := e.requireOrganisation(); err != nil {
 				return err
 			}
 			at, err := unixMs(*notBefore)
 			if err != nil {
 				return err
 			}
-			seen, err := e.seenRevision(ctx, *model, *revision)
+			seen, err := e.baseRevision(ctx, *model, *revision)
 			if err != nil {
 				return err
 			}
@@ -48,7 +48,7 @@
 					Organisation: e.organisation,
 					Version:      &pb.Version{Model: *model, Name: *version, BaseModel: *base, Source: *source},
 					Targets:      &pb.Targets{Domains: *domains, Pool: *pool},
-					MinReady:     *minReady, NotBeforeUnixMs: at, Objective: objectiveOf(*objective), OriginCopies: *copies,
+					MinReady:     *minReady, NotBeforeUnixMs: at, Objective: parseObjective(*objective), OriginCopies: *copies,
 				},
 			})
 			if err != nil {
@@ -56,7 +56,7 @@
 			}
 			return e.print(a, func(w io.Writer) {
 				fmt.Fprintf(w, "%s\n", a.GetRollout().GetId())
-				fmt.Fprintf(e.problems, "springrail: in force; follow it with: springrail rollout status --watch %s\n",
+				fmt.Fprintf(e.errorOutput, "springrail: in force; follow it with: springrail rollout status --watch %s\n",
 					a.GetRollout().GetId())
 			})
 		}
@@ -74,8 +74,9 @@
 	return t.UnixMilli(), nil
 }
 
-// seenRevision is the revision that the operator gave, or that of the model's current rollout.
-func (e *env) seenRevision(ctx context.Context, model string, given int64) (uint64, error) {
+// baseRevision returns the revision that the operator gave, or else the revision of the model's active rollout. It
+// returns 0 if the model has no active rollout.
+func (e *env) baseRevision(ctx context.Context, model string, given int64) (uint64, error) {
 	if given > 0 {
 		return uint64(given), nil
 	}
@@ -100,7 +101,7 @@
 		watch := c.Flag("watch", "Go on until every target is ready and every domain open.").Bool()
 		timeout := c.Flag("timeout", "End of --watch.").Default("1h").Duration()
 		return func(ctx context.Context, e *env) error {
-			if err := e.need(); err != nil {
+			if err := e.requireOrganisation(); err != nil {
 				return err
 			}
 			if *watch {
@@ -117,7 +118,8 @@
 	},
 }
 
-// watch prints each change until the rollout is live everywhere or has ended.
+// watch prints a rollout's status at each update until every target is ready and every failure domain is open. It
+// returns an error if the rollout ends before.
 func (e *env) watch(ctx context.Context, name string) error {
 	s, err := e.client.WatchRollout(ctx, &pb.WatchRolloutRequest{Organisation: e.organisation, Rollout: name})
 	if err != nil {
@@ -136,14 +138,14 @@
 		if m.GetRollout().GetState() != pb.RolloutState_ROLLOUT_STATE_ACTIVE {
 			return fmt.Errorf("the rollout has ended: %s", stateName(m.GetRollout().GetState()))
 		}
-		if everywhere(m.GetProgress()) {
+		if liveInAllDomains(m.GetProgress()) {
 			return nil
 		}
 	}
 	return s.Err()
 }
 
-func everywhere(l []*pb.DomainProgress) bool {
+func liveInAllDomains(l []*pb.DomainProgress) bool {
 	for _, d := range l {
 		if d.GetReady() < d.GetTargets() || !d.GetOpen() {
 			return false
@@ -183,7 +185,7 @@
 	help:  "List an organisation's rollouts, oldest first.",
 	setup: func(*kingpin.CmdClause) action {
 		return func(ctx context.Context, e *env) error {
-			if err := e.need(); err != nil {
+			if err := e.requireOrganisation(); err != nil {
 				return err
 			}
 			a, err := e.client.ListRollouts(ctx, &pb.ListRolloutsRequest{Organisation: e.organisation})
@@ -207,7 +209,7 @@
 		name := c.Arg("rollout", "ID of the rollout.").Required().String()
 		change := c.Flag("change-id", "Your ID for the change, to ask again with.").String()
 		return func(ctx context.Context, e *env) error {
-			if err := e.need(); err != nil {
+			if err := e.requireOrganisation(); err != nil {
 				return err
 			}
 			a, err := e.client.CancelRollout(ctx, &pb.CancelRolloutRequest{
@@ -229,7 +231,7 @@
 		name := c.Arg("rollout", "ID of the rollout to undo.").Required().String()
 		change := c.Flag("change-id", "Your ID for the change, to ask again with.").String()
 		return func(ctx context.Context, e *env) error {
-			if err := e.need(); err != nil {
+			if err := e.requireOrganisation(); err != nil {
 				return err
 			}
 			a, err := e.client.RollBackRollout(ctx, &pb.RollBackRolloutRequest{
--- a/internal/cmd/cmd_timeline.go
+++ b/internal/cmd/cmd_timeline.go
@@ -18,7 +18,7 @@
 		rollout := c.Flag("rollout", "Only events of this rollout.").String()
 		request := c.Flag("request", "Only events of this request.").String()
 		return func(ctx context.Context, e *env) error {
-			if err := e.need(); err != nil {
+			if err := e.requireOrganisation(); err != nil {
 				return err
 			}
 			a, err := e.client.ListEvents(ctx, &pb.ListEventsRequest{
--- a/internal/cmd/cmd_traffic.go
+++ b/internal/cmd/cmd_traffic.go
@@ -14,7 +14,7 @@
 	"github.com/springrail/springrail/internal/traffic"
 )
 
-// metricsTimeout bounds the reading of one process's metrics.
+// metricsTimeout limits the HTTP request that reads the metrics of one process.
 const metricsTimeout = 5 * time.Second
 
 var cmdTraffic = command{
@@ -40,7 +40,7 @@
 	},
 }
 
-// openTraffic opens a file, or asks a metrics address.
+// openTraffic opens a file by its name, or requests the metrics document where the name is an HTTP URL.
 func openTraffic(ctx context.Context, name string) (io.ReadCloser, error) {
 	if !strings.HasPrefix(name, "http://") && !strings.HasPrefix(name, "https://") {
 		return openFile(name)
--- a/internal/cmd/cmd_vm.go
+++ b/internal/cmd/cmd_vm.go
@@ -16,7 +16,7 @@
 	help:  "List the VMs that hold or serve versions of an organisation.",
 	setup: func(*kingpin.CmdClause) action {
 		return func(ctx context.Context, e *env) error {
-			if err := e.need(); err != nil {
+			if err := e.requireOrganisation(); err != nil {
 				return err
 			}
 			a, err := e.client.ListVMs(ctx, &pb.ListVMsRequest{Organisation: e.organisation})
--- a/internal/cmd/daemon.go
+++ b/internal/cmd/daemon.go
@@ -17,34 +17,34 @@
 	"github.com/springrail/springrail/internal/logsink"
 )
 
-// The exit codes of all programs.
+// The process exit codes of all programs. The help text of the operators' command line documents them.
 const (
-	ExitDone         = 0
-	ExitFailed       = 1
-	ExitUsage        = 2
-	ExitNotFound     = 3
-	ExitRefused      = 4
-	ExitOutcomeUnknown      = 5
-	ExitUnreachable  = 6
-	ExitUnauthorised = 7
+	ExitDone           = 0
+	ExitFailed         = 1
+	ExitUsage          = 2
+	ExitNotFound       = 3
+	ExitRefused        = 4
+	ExitOutcomeUnknown = 5
+	ExitUnreachable    = 6
+	ExitUnauthorised   = 7
 )
 
-// Version is the release.
+// Version is the release that --version prints and the startup log line holds.
 const Version = "0.1.0"
 
-// newApp makes a command line that does not end the process by itself.
-func newApp(name, help string, out, problems io.Writer) *kingpin.Application {
+// newApp returns a command line parser that writes usage to out and errors to errorOutput.
+func newApp(name, help string, out, errorOutput io.Writer) *kingpin.Application {
 	a := kingpin.New(name, help)
 	a.Version(Version)
 	a.HelpFlag.Short('h')
 	a.UsageWriter(out)
-	a.ErrorWriter(problems)
+	a.ErrorWriter(errorOutput)
 	return a
 }
 
-// Daemon runs a program that is made of the parts that its main links in, or of the named ones and their needs where
-// main names some, until SIGTERM or SIGINT. It returns the exit code.
-func Daemon(name, help string, named ...string) int {
+// Daemon runs a server process until SIGTERM or SIGINT and returns its exit code. The process runs all registered
+// parts, or only those in partNames and their dependencies if partNames is given.
+func Daemon(name, help string, partNames ...string) int {
 	a := newApp(name, help, os.Stdout, os.Stderr)
 	file := a.Flag("settings", "The settings file (TOML); docs/SETTINGS.md lists the keys.").Required().String()
 	check := a.Flag("check", "Only check the settings, and say each wrong line.").Bool()
@@ -53,8 +53,8 @@
 		return ExitUsage
 	}
 	parts := kernel.Registered()
-	if len(named) > 0 {
-		parts = kernel.Select(named...)
+	if len(partNames) > 0 {
+		parts = kernel.Select(partNames...)
 	}
 	sections := kernel.Sections(parts)
 	if problems := kernel.LoadSettings(*file, sections); len(problems) > 0 {
@@ -99,9 +99,9 @@
 	}
 }
 
-// watchReload reads the settings again at SIGHUP and says what has changed. Addresses and limits are taken at the next
-// start; a file that is wrong changes nothing.
-func watchReload(ctx context.Context, l *log.Logger, file string, parts []kernel.Part, old map[string]kernel.Section) {
+// watchReload reads the settings file again at each SIGHUP and logs which sections changed. Only the log level takes
+// effect at once; all other settings take effect at the next start. An invalid file changes nothing.
+func watchReload(ctx context.Context, l *log.Logger, file string, parts []kernel.Part, current map[string]kernel.Section) {
 	c := make(chan os.Signal, 1)
 	signal.Notify(c, syscall.SIGHUP)
 	defer signal.Stop(c)
@@ -120,8 +120,8 @@
 			continue
 		}
 		for name, s := range fresh {
-			if !reflect.DeepEqual(s, old[name]) {
-				l.Warn().Str("section", name).Msg("settings changed: they hold from the next start on")
+			if !reflect.DeepEqual(s, current[name]) {
+				l.Warn().Str("section", name).Msg("settings changed; they take effect at the next start")
 			}
 		}
 		l.Level = log.ParseLevel(fresh["process"].(*kernel.Process).LogLevel)
--- a/internal/cmd/input.go
+++ b/internal/cmd/input.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// readInputs reads what is named in turn, or standard input where nothing is.
+// readInputs opens and reads the named inputs one after another, or reads standard input if there are no names.
 func readInputs(names []string, open func(name string) (io.ReadCloser, error), read func(r io.Reader) error) error {
 	if len(names) == 0 {
 		return readInput("standard input", os.Stdin, read)
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// openFile opens a file.
+// openFile opens a file for reading; it is the open function of readInputs for commands that accept only files.
 func openFile(name string) (io.ReadCloser, error) {
 	return os.Open(name)
 }
--- a/internal/cmd/operator.go
+++ b/internal/cmd/operator.go
@@ -1,4 +1,5 @@
-// Package cmd holds the command lines of all programs: one command a file, collected in one list.
+// Package cmd implements the command lines of the operators' tool, the server processes and the stand-ins. Each command
+// of the operators' tool is a variable in a cmd_*.go file and listed in commands.
 package cmd
 
 import (
@@ -23,7 +24,7 @@
 	"github.com/springrail/springrail/gen/springrail/v1/springrailv1connect"
 )
 
-// env is what an operator's command works with.
+// env holds the RPC clients, the global flags and the outputs that the operators' commands share.
 type env struct {
 	client       springrailv1connect.OperatorServiceClient
 	quarantine   springrailv1connect.QuarantineServiceClient
@@ -31,30 +32,30 @@
 	organisation string
 	json         bool
 	out          io.Writer
-	problems     io.Writer
+	errorOutput  io.Writer
 }
 
-// action carries a command out once its arguments are read.
+// action executes a command after its arguments have been parsed.
 type action func(ctx context.Context, e *env) error
 
-// command is one command of the operators' command line.
+// command describes one command of the operators' command line.
 type command struct {
-	// group is the noun, for example "rollout"; empty for commands of one word.
+	// group is the parent command, for example "rollout"; empty for a top-level command.
 	group string
 	name  string
 	help  string
-	// setup declares the arguments and returns the action.
+	// setup declares the command's arguments and flags and returns its action.
 	setup func(c *kingpin.CmdClause) action
 }
 
-// commands lists all of them, in the order of --help.
+// commands lists the commands of the operators' command line in the order in which --help prints them.
 var commands = []command{
 	cmdOrganisationPut, cmdOrganisationGet, cmdOrganisationList,
 	cmdRolloutCreate, cmdRolloutStatus, cmdRolloutList, cmdRolloutCancel, cmdRolloutRollback,
 	cmdVMList, cmdChangeGet, cmdQuarantineList, cmdQuarantineLift, cmdLimitsList, cmdTimeline, cmdLosses, cmdTraffic, cmdManifest, cmdToken,
 }
 
-// groupHelp describes the nouns.
+// groupHelp maps each command group to its help text.
 var groupHelp = map[string]string{
 	"organisation": "Organisations that share the service.",
 	"rollout":      "Rollouts of models, adapters and versions.",
@@ -65,15 +66,15 @@
 }
 
 // Operator runs the operators' command line and returns the exit code.
-func Operator(args []string, out, problems io.Writer) int {
+func Operator(args []string, out, errorOutput io.Writer) int {
 	a := newApp("springrail", "Drives springrail: rollouts of weights to VMs, and what became of them.\n\n"+
 		"Exit codes: 0 done, 1 failed, 2 wrong arguments, 3 not found, 4 refused, 5 outcome unknown, "+
-		"6 unreachable, 7 token refused.", out, problems)
+		"6 unreachable, 7 token refused.", out, errorOutput)
 	server := a.Flag("server", "Address of an entry's operator listener.").Envar("SPRINGRAIL_SERVER").
 		Default("http://127.0.0.1:9090").String()
 	token := a.Flag("token", "Operator token.").Envar("SPRINGRAIL_TOKEN").String()
 	ca := a.Flag("ca", "File with the authority of the entry's certificate.").Envar("SPRINGRAIL_CA").String()
-	e := &env{out: out, problems: problems}
+	e := &env{out: out, errorOutput: errorOutput}
 	a.Flag("organisation", "Organisation to act for.").Short('o').Envar("SPRINGRAIL_ORGANISATION").StringVar(&e.organisation)
 	output := a.Flag("output", "text or json.").Default("text").Enum("text", "json")
 	actions := addCommands(a)
@@ -84,21 +85,21 @@
 		return ExitDone
 	}
 	if err != nil {
-		fmt.Fprintf(problems, "springrail: %v; see springrail --help\n", err)
+		fmt.Fprintf(errorOutput, "springrail: %v; see springrail --help\n", err)
 		return ExitUsage
 	}
 	e.json = *output == "json"
 	client, err := httpClient(*ca)
 	if err != nil {
-		fmt.Fprintf(problems, "springrail: %v\n", err)
+		fmt.Fprintf(errorOutput, "springrail: %v\n", err)
 		return ExitUsage
 	}
-	e.client = springrailv1connect.NewOperatorServiceClient(client, *server, connect.WithInterceptors(bearer(*token)))
+	e.client = springrailv1connect.NewOperatorServiceClient(client, *server, connect.WithInterceptors(bearerToken(*token)))
 	e.quarantine = springrailv1connect.NewQuarantineServiceClient(client, *server)
 	e.limits = springrailv1connect.NewLimitServiceClient(client, *server)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	return e.exit(actions[name](ctx, e))
+	return e.exitCode(actions[name](ctx, e))
 }
 
 func addCommands(a *kingpin.Application) map[string]action {
@@ -134,11 +135,11 @@
 	return &http.Client{Transport: t}, nil
 }
 
-// bearer puts the token on each call.
-type bearer string
+// bearerToken is a client interceptor that sends an operator token in the Authorization header of each RPC.
+type bearerToken string
 
 // WrapUnary implements connect.Interceptor.
-func (b bearer) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
+func (b bearerToken) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, r connect.AnyRequest) (connect.AnyResponse, error) {
 		r.Header().Set("Authorization", "Bearer "+string(b))
 		return next(ctx, r)
@@ -146,7 +147,7 @@
 }
 
 // WrapStreamingClient implements connect.Interceptor.
-func (b bearer) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
+func (b bearerToken) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
 	return func(ctx context.Context, s connect.Spec) connect.StreamingClientConn {
 		c := next(ctx, s)
 		c.RequestHeader().Set("Authorization", "Bearer "+string(b))
@@ -155,44 +156,44 @@
 }
 
 // WrapStreamingHandler implements connect.Interceptor.
-func (b bearer) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
+func (b bearerToken) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return next
 }
 
-// exit says what went wrong, and what to do next, and returns the exit code.
-func (e *env) exit(err error) int {
+// exitCode maps an error to an exit code. It prints the error with a hint on what to do next.
+func (e *env) exitCode(err error) int {
 	if err == nil {
 		return ExitDone
 	}
 	var c *connect.Error
 	if !errors.As(err, &c) {
-		fmt.Fprintf(e.problems, "springrail: %v\n", err)
+		fmt.Fprintf(e.errorOutput, "springrail: %v\n", err)
 		return ExitFailed
 	}
 	switch c.Code() {
 	case connect.CodeNotFound:
-		return e.say(ExitNotFound, "not found; see what there is with: springrail rollout list", "")
+		return e.printError(ExitNotFound, "not found; see what there is with: springrail rollout list", "")
 	case connect.CodeUnauthenticated:
-		return e.say(ExitUnauthorised, c.Message(), "; set --token or SPRINGRAIL_TOKEN")
+		return e.printError(ExitUnauthorised, c.Message(), "; set --token or SPRINGRAIL_TOKEN")
 	case connect.CodeFailedPrecondition:
-		return e.say(ExitRefused, c.Message(), "; nothing was changed")
+		return e.printError(ExitRefused, c.Message(), "; nothing was changed")
 	case connect.CodeInvalidArgument:
-		return e.say(ExitUsage, c.Message(), "")
+		return e.printError(ExitUsage, c.Message(), "")
 	case connect.CodeDeadlineExceeded:
-		return e.say(ExitOutcomeUnknown, c.Message(), "; ask with: springrail change get")
+		return e.printError(ExitOutcomeUnknown, c.Message(), "; ask with: springrail change get")
 	case connect.CodeUnavailable:
-		return e.say(ExitUnreachable, c.Message(), "; is --server an entry's operator listener?")
+		return e.printError(ExitUnreachable, c.Message(), "; is --server an entry's operator listener?")
 	default:
-		return e.say(ExitFailed, c.Message(), "")
+		return e.printError(ExitFailed, c.Message(), "")
 	}
 }
 
-func (e *env) say(code int, text, next string) int {
-	fmt.Fprintf(e.problems, "springrail: %s%s\n", text, next)
+func (e *env) printError(code int, text, next string) int {
+	fmt.Fprintf(e.errorOutput, "springrail: %s%s\n", text, next)
 	return code
 }
 
-// print writes a message as JSON, or with the text form.
+// print writes a message as JSON if --output=json is set; otherwise it calls text to write it.
 func (e *env) print(m proto.Message, text func(w io.Writer)) error {
 	if !e.json {
 		text(e.out)
@@ -202,7 +203,7 @@
 	if err != nil {
 		return err
 	}
-	// protojson varies its spaces from build to build, so that nobody relies on them; scripts get one form.
+	// protojson varies its whitespace between builds on purpose. Indenting again gives scripts a stable format.
 	var fixed bytes.Buffer
 	if err := json.Indent(&fixed, b, "", "  "); err != nil {
 		return err
@@ -211,8 +212,8 @@
 	return err
 }
 
-// need says that an argument that many commands share is missing.
-func (e *env) need() error {
+// requireOrganisation returns an error if no organisation is set.
+func (e *env) requireOrganisation() error {
 	if e.organisation == "" {
 		return connect.NewError(connect.CodeInvalidArgument, errors.New("name the organisation with -o or SPRINGRAIL_ORGANISATION"))
 	}
--- a/internal/cmd/standin.go
+++ b/internal/cmd/standin.go
@@ -14,10 +14,11 @@
 	"github.com/springrail/springrail/internal/standin"
 )
 
-// Standin runs the stand-ins' command line and returns the exit code.
-func Standin(args []string, out, problems io.Writer) int {
+// Standin runs the command line of the stand-ins, which simulate the platform, a model engine or a plain service for
+// tests, and returns the exit code.
+func Standin(args []string, out, errorOutput io.Writer) int {
 	a := newApp("springrail-standin", "Plays what springrail meets. Faults are read and set at /faults, counts at /stats.",
-		out, problems)
+		out, errorOutput)
 	actions := map[string]func(ctx context.Context) error{
 		"platform": standinPlatform(a.Command("platform", "The platform's log, VM list, store and origin.")),
 		"engine":   standinEngine(a.Command("engine", "A model engine.")),
@@ -30,13 +31,13 @@
 		return ExitDone
 	}
 	if err != nil {
-		fmt.Fprintf(problems, "springrail-standin: %v; see springrail-standin --help\n", err)
+		fmt.Fprintf(errorOutput, "springrail-standin: %v; see springrail-standin --help\n", err)
 		return ExitUsage
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	if err := actions[name](ctx); err != nil {
-		fmt.Fprintf(problems, "springrail-standin: %v\n", err)
+		fmt.Fprintf(errorOutput, "springrail-standin: %v\n", err)
 		return ExitFailed
 	}
 	return ExitDone
