--- a/internal/losses/line.go
+++ b/internal/losses/line.go
@@ -1,5 +1,6 @@
-// Package losses reads the structured logs of gateways and stagers and says which requests were lost, when and why:
-// by second and cause, by failure domain, route and organisation, with the swaps and restarts beside them.
+// Package losses reads the structured logs of gateways and stagers and reports which requests were lost, when and why.
+// It counts requests by cause per time span, failure domain, route and organisation, and lists version swaps,
+// restarts and store outages in the same time span.
 package losses
 
 import (
@@ -13,10 +14,10 @@
 	"github.com/gravitational/trace"
 )
 
-// mostLine bounds a log line in bytes; those of the processes stay below 2 KB.
-const mostLine = 1 << 20
+// maxLineBytes is the maximum length of a log line; the processes' own lines are shorter than 2 KB.
+const maxLineBytes = 1 << 20
 
-// line is what is read of one log line. Fields that a line lacks stay zero.
+// line holds the decoded fields of a log line. Fields that a line lacks are zero.
 type line struct {
 	Time         time.Time      `json:"time"`
 	Message      string         `json:"message"`
@@ -36,19 +37,20 @@
 	Lines        int            `json:"lines"`
 }
 
-// Log collects the lines of any number of processes.
+// Log holds the request and event lines read from the logs of any number of processes.
 type Log struct {
 	requests []line
 	events   []line
-	// OtherLines counts lines that are no log lines of the processes, and DroppedLines those that the processes say they dropped.
+	// OtherLines counts input lines that are not log lines of the processes. DroppedLines counts the log lines that
+	// the processes reported as dropped.
 	OtherLines, DroppedLines int
 }
 
-// Read adds the lines of a process, or of several. A line may have a prefix before its first brace, such as a
-// collector's stamp. Lines that are no log lines are counted and passed over; an error says that r could not be read.
+// Read adds the log lines of one or more processes. A line may have a prefix before its first brace, such as the
+// timestamp of a log collector. Lines that are not log lines are counted and skipped. An error means that reading r failed.
 func (l *Log) Read(r io.Reader) error {
 	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), mostLine)
+	s.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
 	for s.Scan() {
 		l.add(s.Bytes())
 	}
@@ -70,13 +72,13 @@
 	switch {
 	case v.Message == "request" && !v.Time.IsZero():
 		l.requests = append(l.requests, v)
-	case milestones[v.Message] != "" && !v.Time.IsZero():
+	case eventNames[v.Message] != "" && !v.Time.IsZero():
 		l.events = append(l.events, v)
 	}
 }
 
-// milestones names the lines that stand beside the losses, with their short form.
-var milestones = map[string]string{
+// eventNames maps the message of each log line that counts as an event to the event's short name.
+var eventNames = map[string]string{
 	"started":                          "started",
 	"leaving":                          "leaving",
 	"weights named":                    "named",
@@ -89,9 +91,10 @@
 	"the store is back":                "store back",
 }
 
-// milestone is an event as the table shows it: of the versions with their number, of an upstream whether it is down.
-func (v *line) milestone() string {
-	name := milestones[v.Message]
+// eventName returns the name under which the tables list an event. It includes the version or revision, and whether an
+// upstream is up or down.
+func (v *line) eventName() string {
+	name := eventNames[v.Message]
 	switch {
 	case name == "upstream" && v.Down:
 		return "upstream down"
@@ -106,14 +109,15 @@
 	}
 }
 
-// The causes that are no refusal or failure.
+// The causes of requests that were neither refused nor failed.
 const (
 	causeInTime = "in time"
 	causeLate   = "late"
 	causeLeft   = "caller left"
 )
 
-// cause says what became of a request. A refusal for want of an upstream names what kept most of them away.
+// cause classifies the outcome of a request. If no upstream was available, it includes the reason that excluded the most
+// upstreams.
 func (v *line) cause() string {
 	switch {
 	case v.Outcome == "answered" && v.RouteAimMs > 0 && v.FirstMs > v.RouteAimMs:
@@ -123,7 +127,7 @@
 	case v.Outcome == causeLeft:
 		return causeLeft
 	case v.Why == "no upstream" && len(v.LeftOut) > 0:
-		return v.Why + ": " + v.mostLeftOut()
+		return v.Why + ": " + v.mainLeftOutReason()
 	case v.Why == "":
 		return v.Outcome
 	default:
@@ -131,8 +135,8 @@
 	}
 }
 
-// mostLeftOut is the reason that most upstreams were left out for; of equals the first by name.
-func (v *line) mostLeftOut() string {
+// mainLeftOutReason returns the reason that excluded the most upstreams. Ties go to the first reason in alphabetical order.
+func (v *line) mainLeftOutReason() string {
 	best := ""
 	for name, n := range v.LeftOut {
 		if best == "" || n > v.LeftOut[best] || (n == v.LeftOut[best] && name < best) {
--- a/internal/losses/plot.go
+++ b/internal/losses/plot.go
@@ -13,16 +13,17 @@
 )
 
 const (
-	// plotWidth and plotHeight fit a page of A4 on its side.
+	// plotWidth and plotHeight fit a landscape A4 page.
 	plotWidth  = 26 * vg.Centimeter
 	plotHeight = 14 * vg.Centimeter
-	// plotCauses is the number of causes with a colour of their own, in-time answers included; the rest are summed up.
-	plotCauses = 7
-	// plotRest names that sum.
-	plotRest = "other causes"
+	// maxPlotCauses is the maximum number of causes drawn separately, including in-time answers. The others are drawn as
+	// one sum.
+	maxPlotCauses = 7
+	// otherCauses is the legend entry of the sum of the remaining causes.
+	otherCauses = "other causes"
 )
 
-// Plot draws what became of the requests of each span as stacked bars. The ending of the file's name says its form.
+// Plot draws the number of requests per span and cause as stacked bars. The file name's extension selects the format.
 func (a *Summary) Plot(file string) error {
 	if a.All.Requests == 0 {
 		return trace.BadParameter("there is no request to draw")
@@ -34,8 +35,8 @@
 	p.Legend.Top = true
 	width := plotWidth / vg.Length(len(a.Spans)+1)
 	var below *plotter.BarChart
-	for i, cause := range a.plotted() {
-		b, err := plotter.NewBarChart(a.heights(cause), width)
+	for i, cause := range a.plottedCauses() {
+		b, err := plotter.NewBarChart(a.countsBySpan(cause), width)
 		if err != nil {
 			return trace.Wrap(err)
 		}
@@ -52,30 +53,31 @@
 	return trace.Wrap(p.Save(plotWidth, plotHeight, file))
 }
 
-// plotted lists the causes that have a colour, in-time answers first.
-func (a *Summary) plotted() []string {
+// plottedCauses returns the legend entries in drawing order: in-time answers, the most frequent causes, and otherCauses
+// if any causes remain.
+func (a *Summary) plottedCauses() []string {
 	l := []string{causeInTime}
 	for _, c := range a.Causes {
-		if c != causeInTime && len(l) < plotCauses {
+		if c != causeInTime && len(l) < maxPlotCauses {
 			l = append(l, c)
 		}
 	}
 	if len(a.Causes) > len(l) {
-		l = append(l, plotRest)
+		l = append(l, otherCauses)
 	}
 	return l
 }
 
-// heights are the counts of a cause by span.
-func (a *Summary) heights(cause string) plotter.Values {
+// countsBySpan returns the number of requests with a cause in each span.
+func (a *Summary) countsBySpan(cause string) plotter.Values {
 	drawn := map[string]bool{}
-	for _, c := range a.plotted() {
+	for _, c := range a.plottedCauses() {
 		drawn[c] = true
 	}
 	v := make(plotter.Values, len(a.Spans))
 	for i := range a.Spans {
 		for c, n := range a.Spans[i].Causes {
-			if c == cause || (cause == plotRest && !drawn[c]) {
+			if c == cause || (cause == otherCauses && !drawn[c]) {
 				v[i] += float64(n)
 			}
 		}
@@ -83,7 +85,7 @@
 	return v
 }
 
-// ticks marks about every tenth part of the time, in seconds.
+// ticks returns about ten evenly spaced axis marks, labelled with the spans' start times.
 func (a *Summary) ticks(_, _ float64) []plot.Tick {
 	const marks = 10
 	step := max(1, len(a.Spans)/marks)
@@ -94,7 +96,7 @@
 	return l
 }
 
-// barColour is grey for what needs no look and a colour for each loss.
+// barColour returns grey for requests answered in time, which are the first bar, and a distinct colour for each other cause.
 func barColour(i int) color.Color {
 	if i == 0 {
 		return color.Gray{Y: 0xd0}
--- a/internal/losses/table.go
+++ b/internal/losses/table.go
@@ -8,15 +8,16 @@
 	"github.com/gravitational/trace"
 )
 
-// Row is what became of the requests of one group: a span of time, a failure domain, a route or an organisation.
+// Row counts the requests of one group by cause. A group is a time span, a failure domain, a route or an organisation.
 type Row struct {
-	// Name is the group's; that of a span is its start in seconds after the first request.
+	// Name identifies the group. The name of a span is its start as a duration since the first request.
 	Name string `json:"name"`
-	// Requests counts all, and Causes each cause; InTime is the share of them answered within their route's aim.
+	// Requests is the number of requests, and Causes the number by cause. InTime is the fraction of requests that were
+	// answered with the first event within the route's target time, or answered at all if the route has none.
 	Requests int            `json:"requests"`
 	InTime   float64        `json:"in_time"`
 	Causes   map[string]int `json:"causes"`
-	// Events are the events of the processes in a span, with how many processes logged each.
+	// Events holds, for a span, how often the processes logged each event.
 	Events map[string]int `json:"beside,omitempty"`
 }
 
@@ -26,24 +27,24 @@
 	r.InTime = float64(r.Causes[causeInTime]) / float64(r.Requests)
 }
 
-// Summary says what became of the requests of a log.
+// Summary counts the requests of a Log by outcome, in total and by group.
 type Summary struct {
 	// Start is the time of the first request.
 	Start time.Time     `json:"start"`
 	Span  time.Duration `json:"span_ns"`
-	// Causes lists the causes, the most frequent first.
+	// Causes lists all causes that occur, the most frequent first.
 	Causes        []string `json:"causes"`
 	All           Row      `json:"all"`
 	Spans         []Row    `json:"spans"`
 	Domains       []Row    `json:"domains"`
 	Routes        []Row    `json:"routes"`
 	Organisations []Row    `json:"organisations"`
-	// Other and Dropped are lines that could not be counted: see Log.
+	// Other and Dropped are the numbers of lines that hold no request: see Log.OtherLines and Log.DroppedLines.
 	Other   int `json:"other_lines"`
 	Dropped int `json:"dropped_lines"`
 }
 
-// group collects rows by name.
+// group maps the name of a failure domain, route or organisation to its row.
 type group map[string]*Row
 
 func (g group) row(name string) *Row {
@@ -55,8 +56,8 @@
 	return r
 }
 
-// worst lists the rows, the one with the smallest share in time first.
-func (g group) worst() []Row {
+// worstFirst returns the rows ordered by the fraction of requests answered in time, the smallest first.
+func (g group) worstFirst() []Row {
 	l := make([]Row, 0, len(g))
 	for _, r := range g {
 		l = append(l, *r)
@@ -70,13 +71,14 @@
 	return l
 }
 
-// mostSpans bounds the rows by time: a day in seconds. A line whose clock is years off would else fill the memory.
-const mostSpans = 86_400
+// maxSpans is the maximum number of time spans: a day at one second each. Without this limit, a line whose clock is years
+// off would exhaust the memory.
+const maxSpans = 86_400
 
-// ErrTooManySpans says that the logs cover more time than fits into the rows of a span's length.
+// ErrTooManySpans is returned if the logs cover more than maxSpans time spans.
 var ErrTooManySpans = errors.New("the logs cover too much time for this span; take a longer one, or leave out logs of other days")
 
-// Summarise makes the account in spans of a length. Without a request it has no rows.
+// Summarise counts the requests and events in spans of the given length. If there are no requests, the summary has no rows.
 func (l *Log) Summarise(span time.Duration) (*Summary, error) {
 	a := &Summary{Span: span, Other: l.OtherLines, Dropped: l.DroppedLines, All: Row{Name: "all", Causes: map[string]int{}}}
 	if len(l.requests) == 0 {
@@ -93,7 +95,7 @@
 			last = at
 		}
 	}
-	if last.Sub(a.Start)/span >= mostSpans {
+	if last.Sub(a.Start)/span >= maxSpans {
 		return nil, trace.Wrap(ErrTooManySpans, "from %v to %v", a.Start, last)
 	}
 	for i := range int(last.Sub(a.Start)/span) + 1 {
@@ -112,16 +114,16 @@
 	for i := range l.events {
 		v := &l.events[i]
 		if !v.Time.Before(a.Start) && !v.Time.After(last) {
-			a.Spans[v.Time.Sub(a.Start)/span].Events[v.milestone()]++
+			a.Spans[v.Time.Sub(a.Start)/span].Events[v.eventName()]++
 		}
 	}
-	a.Domains, a.Routes, a.Organisations = domains.worst(), routes.worst(), organisations.worst()
-	a.Causes = names(a.All.Causes)
+	a.Domains, a.Routes, a.Organisations = domains.worstFirst(), routes.worstFirst(), organisations.worstFirst()
+	a.Causes = sortedByCount(a.All.Causes)
 	return a, nil
 }
 
-// names lists the names of counts, the largest first.
-func names(counts map[string]int) []string {
+// sortedByCount returns the map's keys ordered by count, the largest first, and then by name.
+func sortedByCount(counts map[string]int) []string {
 	l := make([]string, 0, len(counts))
 	for n := range counts {
 		l = append(l, n)
