--- a/internal/traffic/account.go
+++ b/internal/traffic/account.go
@@ -10,32 +10,32 @@
 	"github.com/gravitational/trace"
 )
 
-// mostText bounds a log line or a metrics document in bytes; those of the processes stay below 64 KB.
-const mostText = 1 << 20
+// maxTextBytes is the maximum size of a log line or a metrics document; the processes' own are smaller than 64 KB.
+const maxTextBytes = 1 << 20
 
-// Totals adds up what processes have counted, from their logs or metrics.
+// Totals sums the traffic counts of several processes, read from their logs or metrics.
 type Totals struct {
-	// Processes counts those that were read, restarts as further ones.
+	// Processes is the number of process lifetimes that were read; a restart counts as a further one.
 	Processes int              `json:"processes"`
 	Rows      []Row            `json:"rows"`
 	Calls     map[string]int64 `json:"calls"`
-	// newest is the last snapshot of each process, by its life.
+	// newest holds the latest snapshot of each process lifetime, by the snapshot's Incarnation.
 	newest map[string]Snapshot
 }
 
-// Row is a kind of traffic.
+// Row holds the counts of one kind of traffic by distance.
 type Row struct {
-	Kind string           `json:"kind"`
-	ByDistance   map[string]Count `json:"by"`
+	Kind       string           `json:"kind"`
+	ByDistance map[string]Count `json:"by"`
 }
 
-// Bytes are what went both ways at a distance.
+// Bytes returns the bytes sent and received at a distance.
 func (r *Row) Bytes(distance string) int64 {
 	return r.ByDistance[distance].Sent + r.ByDistance[distance].Received
 }
 
-// text is what is read of a log line, or of a metrics document.
-type text struct {
+// document holds the decoded fields of a log line or a metrics document.
+type document struct {
 	Message    string    `json:"message"`
 	Traffic    *Snapshot `json:"traffic"`
 	Springrail struct {
@@ -43,22 +43,22 @@
 	} `json:"springrail"`
 }
 
-// Read adds the logs of any number of processes, or the metrics of one. A log line may have a prefix before its first
-// brace. What has no counts is passed over.
+// Read adds the snapshots in the logs of any number of processes, or in the metrics document of one process. A log line
+// may have a prefix before its first brace. Log lines without a snapshot are skipped.
 func (a *Totals) Read(r io.Reader) error {
 	b := bufio.NewReader(r)
 	if head, err := b.Peek(2); err == nil && head[0] == '{' && head[1] == '\n' {
 		return a.readMetrics(b)
 	}
 	s := bufio.NewScanner(b)
-	s.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), mostText)
+	s.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxTextBytes)
 	for s.Scan() {
 		l := s.Bytes()
 		at := bytes.IndexByte(l, '{')
 		if at < 0 || !bytes.Contains(l, []byte(`"`+SnapshotKey+`"`)) {
 			continue
 		}
-		var t text
+		var t document
 		if json.Unmarshal(l[at:], &t) == nil && t.Message == LogMessage && t.Traffic != nil {
 			a.add(*t.Traffic)
 		}
@@ -66,10 +66,10 @@
 	return trace.Wrap(s.Err())
 }
 
-// readMetrics adds a document as the metrics address serves it.
+// readMetrics adds the snapshot of a metrics document in the format that /debug/vars serves.
 func (a *Totals) readMetrics(r io.Reader) error {
-	var t text
-	if err := json.NewDecoder(io.LimitReader(r, mostText)).Decode(&t); err != nil {
+	var t document
+	if err := json.NewDecoder(io.LimitReader(r, maxTextBytes)).Decode(&t); err != nil {
 		return trace.Wrap(err)
 	}
 	if t.Springrail.Traffic == nil {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// add keeps the newest snapshot of each process.
+// add records a snapshot unless a newer one of the same process lifetime is already known.
 func (a *Totals) add(s Snapshot) {
 	if a.newest == nil {
 		a.newest = map[string]Snapshot{}
@@ -89,7 +89,7 @@
 	}
 }
 
-// Sum adds all processes up. Rows are in the order of the kinds.
+// Sum computes the exported fields as totals over the latest snapshots. Rows are in the order of the Kind constants.
 func (a *Totals) Sum() {
 	a.Processes, a.Rows, a.Calls = len(a.newest), nil, map[string]int64{}
 	by := map[string]map[string]Count{}
@@ -114,8 +114,8 @@
 	}
 }
 
-// calls lists the reasons of calls, the most frequent first.
-func (a *Totals) calls() []string {
+// callsByCount returns the keys of Calls, the most frequent first.
+func (a *Totals) callsByCount() []string {
 	var l []string
 	for c := range a.Calls {
 		l = append(l, c)
--- a/internal/traffic/part.go
+++ b/internal/traffic/part.go
@@ -12,29 +12,30 @@
 	"github.com/springrail/springrail/internal/kernel"
 )
 
-// PartName is what other parts name in their needs.
+// PartName is the name of this part, under which other parts declare it as a dependency.
 const PartName = "traffic"
 
-// LogMessage is the message of the log lines with a snapshot, and SnapshotKey the snapshot's field there and among the metrics.
+// LogMessage is the message of log lines that hold a snapshot. SnapshotKey is the snapshot's key in these lines and in the
+// metrics document.
 const (
-	LogMessage = "traffic"
-	SnapshotKey   = "traffic"
+	LogMessage  = "traffic"
+	SnapshotKey = "traffic"
 )
 
-// leastLog bounds how often a line is written: it has up to 2 KB.
-const leastLog = 200 * time.Millisecond
+// minLogInterval is the minimum interval between log lines with a snapshot, which are up to 2 KB each.
+const minLogInterval = 200 * time.Millisecond
 
-// Settings is the section [traffic].
+// Settings holds the settings section [traffic].
 type Settings struct {
-	// Regions says which region each failure domain is in; without it all count as in one.
+	// Regions maps each failure domain to its region. If it is empty, all failure domains count as one region.
 	Regions map[string]string `toml:"regions"`
-	// LogEvery is how often the counts are logged; 0 is never.
+	// LogEvery is the interval at which the counts are logged; 0 disables logging them.
 	LogEvery time.Duration `toml:"log_every"`
 }
 
 // Check implements kernel.Section.
 func (s *Settings) Check(c *kernel.Checker) {
-	c.Require(s.LogEvery == 0 || s.LogEvery >= leastLog, "log_every", "0 for never, or a time of at least 200ms")
+	c.Require(s.LogEvery == 0 || s.LogEvery >= minLogInterval, "log_every", "0 for never, or a time of at least 200ms")
 }
 
 func init() {
@@ -51,7 +52,7 @@
 			}
 			f := h.Part(facts.PartName).(*facts.Facts)
 			p := &Part{
-				Counter: New(h.Identity.Domain, regions, domains(f, h.Identity.Domain), time.Now), every: s.LogEvery, log: h.Log,
+				Counter: New(h.Identity.Domain, regions, domainLookup(f, h.Identity.Domain), time.Now), logInterval: s.LogEvery, log: h.Log,
 			}
 			h.Metric(SnapshotKey, p.Counter)
 			return p, nil
@@ -59,8 +60,9 @@
 	})
 }
 
-// domains finds the failure domain of a host: of an upstream's, or of a gateway's in the own domain. Others are not known.
-func domains(f *facts.Facts, self id.Domain) func(host string) (id.Domain, bool) {
+// domainLookup returns a function that finds the failure domain of an upstream's host, or of a gateway's host in the
+// process's own failure domain. Other hosts are unknown to it.
+func domainLookup(f *facts.Facts, self id.Domain) func(host string) (id.Domain, bool) {
 	return func(host string) (id.Domain, bool) {
 		for _, i := range f.Instances() {
 			if h, _, err := net.SplitHostPort(i.Address); err == nil && h == host {
@@ -76,20 +78,20 @@
 	}
 }
 
-// Part is the counter of a process; it logs its counts now and then.
+// Part is the process's traffic counter, which logs a snapshot of its counts at a fixed interval.
 type Part struct {
 	*Counter
-	every time.Duration
-	log   *log.Logger
+	logInterval time.Duration
+	log         *log.Logger
 }
 
-// Run logs the counts until the context ends, and once at the end.
+// Run logs a snapshot at every interval until the context ends, and a last one then. It logs none if the interval is 0.
 func (p *Part) Run(ctx context.Context) error {
-	if p.every == 0 {
+	if p.logInterval == 0 {
 		return nil
 	}
 	for ctx.Err() == nil {
-		kernel.Pause(ctx, p.every)
+		kernel.Pause(ctx, p.logInterval)
 		p.log.Info().RawJSON(SnapshotKey, []byte(p.String())).Msg(LogMessage)
 	}
 	return nil
--- a/internal/traffic/text.go
+++ b/internal/traffic/text.go
@@ -6,7 +6,7 @@
 	"text/tabwriter"
 )
 
-// megabyte is 10^6 bytes, as links are rated.
+// megabyte is 10^6 bytes, the unit in which link speeds are given.
 const megabyte = 1e6
 
 // Text writes the account as two tables: bytes by kind and distance, and calls by reason.
@@ -21,7 +21,7 @@
 		fmt.Fprintf(t, "\t%s", d)
 	}
 	fmt.Fprintln(t)
-	var all [distances]Count
+	var all [numDistances]Count
 	for i := range a.Rows {
 		r := &a.Rows[i]
 		fmt.Fprint(t, r.Kind)
@@ -38,7 +38,7 @@
 		writeCount(t, n.Number, n.Sent)
 	}
 	fmt.Fprint(t, "\n\ncalls\tnumber\n")
-	for _, c := range a.calls() {
+	for _, c := range a.callsByCount() {
 		fmt.Fprintf(t, "%s\t%d\n", c, a.Calls[c])
 	}
 	return t.Flush()
--- a/internal/traffic/traffic.go
+++ b/internal/traffic/traffic.go
@@ -1,6 +1,6 @@
-// Package traffic counts what a process sends and gets, by kind and by how far it goes, and whom it calls for what. The
-// links between regions are the scarcest, and calls to the platform's store are shared by all: an operator has to be
-// able to say which part of the system uses them.
+// Package traffic counts the bytes that a process sends and receives, by kind of traffic and by network distance, and
+// its calls to shared services by reason. Links between regions have the least capacity, and all processes share the
+// platform's store, so an operator needs to see which part of the system uses them.
 package traffic
 
 import (
@@ -15,110 +15,115 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// Kind is what bytes are for.
+// Kind is the purpose of a datagram or connection.
 type Kind uint8
 
-// The kinds. Datagrams are counted where they are sent; connections, with the bytes both ways, where they are opened.
+// The kinds of traffic. A datagram is counted by its sender. A connection and its bytes in both directions are counted by
+// the process that opened it.
 const (
-	// Reports are stagers' reports to gateways, by datagrams.
+	// Reports are datagrams from stagers to gateways that report the state of an upstream.
 	Reports Kind = iota
-	// Subscriptions are gateways' subscriptions to reports, by datagrams.
+	// Subscriptions are datagrams by which gateways subscribe to stagers' reports.
 	Subscriptions
-	// Records are the platform's records, handed on from process to process.
+	// Records are connections over which processes forward the platform's records to each other.
 	Records
-	// Messages are all others between processes, mostly news of chunks.
+	// Messages are all other RPCs between processes, mostly announcements of available chunks.
 	Messages
-	// Chunks are chunks of weights between stagers.
+	// Chunks are transfers of chunks of model weights between stagers.
 	Chunks
-	// Requests are callers' requests and their answers, between gateways and upstreams.
+	// Requests are callers' requests and the responses to them, between gateways and upstreams.
 	Requests
-	// Store is the platform's store.
+	// Store is traffic with the platform's store.
 	Store
-	// Origin is the origin of weights.
+	// Origin is traffic with the origin server of the model weights.
 	Origin
-	// Engine is the engine on the same VM.
+	// Engine is traffic with the model engine on the same VM.
 	Engine
-	kinds
+	numKinds
 )
 
-var kindNames = [kinds]string{
+var kindNames = [numKinds]string{
 	"reports", "subscriptions", "records", "messages", "chunks", "requests", "store", "origin", "engine",
 }
 
-// String names a kind.
+// String returns the kind's name in logs, metrics and printed tables.
 func (k Kind) String() string {
 	return kindNames[k]
 }
 
-// Distance is how far bytes go.
+// Distance classifies the network path to a peer by failure domain and region.
 type Distance uint8
 
-// The distances. Unknown is the other end's whose failure domain this process does not know, such as the store.
+// The distances, from this process's failure domain. Unknown applies to peers whose failure domain the process does not
+// know, such as the store.
 const (
 	SameDomain Distance = iota
 	OtherDomain
 	OtherRegion
 	Unknown
-	distances
+	numDistances
 )
 
-var distanceNames = [distances]string{"near", "other domain", "other region", "unknown"}
+var distanceNames = [numDistances]string{"near", "other domain", "other region", "unknown"}
 
-// String names a distance.
+// String returns the distance's name in logs, metrics and printed tables.
 func (d Distance) String() string {
 	return distanceNames[d]
 }
 
-// cell is what is counted of a kind and distance.
-type cell struct {
+// trafficCounts holds the live counters for one kind and distance: datagrams or connections, bytes sent and received.
+type trafficCounts struct {
 	number, sent, got atomic.Int64
 }
 
-// Counter counts for one process. Counting takes two atomic additions and no lock, and the number of counts is bounded.
+// Counter counts the traffic of one process. Counting takes two atomic additions and no lock, and the number of counters
+// is bounded.
 type Counter struct {
-	self     id.Domain
-	regions  map[id.Domain]string
-	domainAt func(host string) (id.Domain, bool)
-	now      func() time.Time
-	start    time.Time
-	life     string
-	cells    [kinds][distances]cell
-	calls    expvar.Map
+	ownDomain   id.Domain
+	regions     map[id.Domain]string
+	domainAt    func(host string) (id.Domain, bool)
+	now         func() time.Time
+	start       time.Time
+	incarnation string
+	counts      [numKinds][numDistances]trafficCounts
+	calls       expvar.Map
 }
 
-// New makes the counter of a process in a failure domain. Regions says which region each domain is in; domainAt says
-// which domain a host is in, where that is known.
+// New returns the counter of a process in a failure domain. regions maps failure domains to regions. domainAt returns
+// the failure domain of a host and whether it is known.
 func New(self id.Domain, regions map[id.Domain]string, domainAt func(host string) (id.Domain, bool), now func() time.Time) *Counter {
 	return &Counter{
-		self: self, regions: regions, domainAt: domainAt, now: now, start: now(), life: fmt.Sprintf("%016x", rand.Uint64()),
+		ownDomain: self, regions: regions, domainAt: domainAt, now: now, start: now(), incarnation: fmt.Sprintf("%016x", rand.Uint64()),
 	}
 }
 
-// DistanceTo says how far a failure domain is. One whose region is not known counts as in the same.
+// DistanceTo returns the distance to a failure domain. A failure domain whose region is unknown counts as in the same region.
 func (c *Counter) DistanceTo(d id.Domain) Distance {
 	switch {
-	case d == c.self:
+	case d == c.ownDomain:
 		return SameDomain
-	case c.regions[d] != c.regions[c.self] && c.regions[d] != "":
+	case c.regions[d] != c.regions[c.ownDomain] && c.regions[d] != "":
 		return OtherRegion
 	default:
 		return OtherDomain
 	}
 }
 
-// CountDatagram counts one that was sent to a failure domain.
+// CountDatagram counts a datagram that was sent to a failure domain.
 func (c *Counter) CountDatagram(k Kind, d id.Domain, bytes int) {
-	l := &c.cells[k][c.DistanceTo(d)]
+	l := &c.counts[k][c.DistanceTo(d)]
 	l.number.Add(1)
 	l.sent.Add(int64(bytes))
 }
 
-// CountCall counts a call to something, such as the store, for a reason. Both are fixed texts, so that their number is bounded.
+// CountCall counts a call to a service, such as the store, by reason. Callers pass only constant texts, so that the number
+// of counters is bounded.
 func (c *Counter) CountCall(to, reason string) {
 	c.calls.Add(to+" "+reason, 1)
 }
 
-// CountConn counts a connection that this process has opened to an address, and what goes over it.
+// CountConn counts a connection that this process has opened to an address, and returns it wrapped so that its bytes are
+// counted. A connection that is not TCP is returned unchanged and not counted.
 func (c *Counter) CountConn(k Kind, address string, n net.Conn) net.Conn {
 	t, ok := n.(*net.TCPConn)
 	if !ok {
@@ -130,36 +135,36 @@
 			d = c.DistanceTo(at)
 		}
 	}
-	l := &c.cells[k][d]
+	l := &c.counts[k][d]
 	l.number.Add(1)
-	return &conn{TCPConn: t, cell: l}
+	return &conn{TCPConn: t, counts: l}
 }
 
-// Count is what was counted of a kind and distance: datagrams or connections, and bytes.
+// Count holds the counts for one kind and distance: the number of datagrams or connections, and the bytes.
 type Count struct {
-	Number int64 `json:"number"`
-	Sent   int64 `json:"sent"`
-	Received    int64 `json:"got"`
+	Number   int64 `json:"number"`
+	Sent     int64 `json:"sent"`
+	Received int64 `json:"got"`
 }
 
-// Snapshot is what a process has counted since its start.
+// Snapshot holds the counts of a process since its start.
 type Snapshot struct {
-	// Incarnation tells the process from an earlier one on its VM.
-	Incarnation     string                      `json:"life"`
-	UptimeMs int64                       `json:"uptime_ms"`
-	Kinds    map[string]map[string]Count `json:"kinds"`
-	Calls    map[string]int64            `json:"calls"`
+	// Incarnation identifies one lifetime of the process; it changes at each restart.
+	Incarnation string                      `json:"life"`
+	UptimeMs    int64                       `json:"uptime_ms"`
+	Kinds       map[string]map[string]Count `json:"kinds"`
+	Calls       map[string]int64            `json:"calls"`
 }
 
-// Snapshot returns what has been counted; kinds and distances without anything are left out.
+// Snapshot returns the current counts, without the kinds and distances for which nothing was counted.
 func (c *Counter) Snapshot() Snapshot {
 	s := Snapshot{
-		Incarnation: c.life, UptimeMs: c.now().Sub(c.start).Milliseconds(), Kinds: map[string]map[string]Count{}, Calls: map[string]int64{},
+		Incarnation: c.incarnation, UptimeMs: c.now().Sub(c.start).Milliseconds(), Kinds: map[string]map[string]Count{}, Calls: map[string]int64{},
 	}
-	for k := range kinds {
+	for k := range numKinds {
 		by := map[string]Count{}
-		for d := range distances {
-			l := &c.cells[k][d]
+		for d := range numDistances {
+			l := &c.counts[k][d]
 			if n := (Count{Number: l.number.Load(), Sent: l.sent.Load(), Received: l.got.Load()}); n != (Count{}) {
 				by[d.String()] = n
 			}
@@ -176,7 +181,7 @@
 	return s
 }
 
-// String is the snapshot as JSON, so that a Counter is a metric.
+// String returns the snapshot as JSON; it implements expvar.Var.
 func (c *Counter) String() string {
 	b, err := json.Marshal(c.Snapshot())
 	if err != nil {
--- a/internal/traffic/traffic_test.go
+++ b/internal/traffic/traffic_test.go
@@ -27,12 +27,12 @@
 
 var regions = map[id.Domain]string{"a": "r", "b": "r", "c": "s"}
 
-// counter is that of a process in domain a that knows the domain of 127.0.0.1.
+// counter returns the counter of a process in failure domain a, to which 127.0.0.1 is in failure domain c.
 func counter() *Counter {
 	return New("a", regions, func(host string) (id.Domain, bool) { return "c", host == "127.0.0.1" }, time.Now)
 }
 
-// echo starts a server that answers each byte twice, and returns its address.
+// echo starts a server that reads all input, sends it back twice and closes the connection. It returns the address.
 func echo() string {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
@@ -54,11 +54,11 @@
 }
 
 var _ = Describe("the distance of a failure domain", func() {
-	DescribeTable("follows from the regions", func(d id.Domain, want Distance) {
+	DescribeTable("depends on the regions", func(d id.Domain, want Distance) {
 		Expect(counter().DistanceTo(d)).To(Equal(want))
 	},
-		Entry("the own", id.Domain("a"), SameDomain), Entry("of the same region", id.Domain("b"), OtherDomain),
-		Entry("of another region", id.Domain("c"), OtherRegion), Entry("of a region that is not known", id.Domain("x"), OtherDomain),
+		Entry("the process's own", id.Domain("a"), SameDomain), Entry("in the same region", id.Domain("b"), OtherDomain),
+		Entry("in another region", id.Domain("c"), OtherRegion), Entry("in an unknown region", id.Domain("x"), OtherDomain),
 	)
 })
 
@@ -75,7 +75,7 @@
 		}))
 	})
 
-	It("counts the bytes of connections both ways, whichever way they are moved", func() {
+	It("counts a connection's bytes in both directions, for Read, Write and io.Copy", func() {
 		c := counter()
 		dial := c.CountingDialer(Requests, (&net.Dialer{}).DialContext)
 		n, err := dial(context.Background(), "tcp", echo())
@@ -97,7 +97,7 @@
 		}))
 	})
 
-	It("says where it does not know how far a connection goes, and counts none that fails", func() {
+	It("counts connections to unknown hosts as unknown, and does not count failed dials", func() {
 		c := New("a", regions, func(string) (id.Domain, bool) { return "", false }, time.Now)
 		_, err := c.CountingDialer(Store, func(context.Context, string, string) (net.Conn, error) { return nil, io.EOF })(
 			context.Background(), "tcp", "127.0.0.1:1")
@@ -109,7 +109,7 @@
 		Expect(c.Snapshot().Kinds["store"]).To(HaveKey("unknown"))
 	})
 
-	It("counts calls by whom and why", func() {
+	It("counts calls by service and reason", func() {
 		c := counter()
 		c.CountCall("store", "start")
 		c.CountCall("store", "start")
@@ -117,11 +117,11 @@
 		Expect(c.Snapshot().Calls).To(Equal(map[string]int64{"store start": 2, "origin chunk": 1}))
 	})
 
-	It("logs what it has counted, again and again", func() {
+	It("logs a snapshot at each interval", func() {
 		var b bytes.Buffer
-		p := &Part{Counter: counter(), every: leastLog, log: &log.Logger{Writer: &log.IOWriter{Writer: &b}}}
+		p := &Part{Counter: counter(), logInterval: minLogInterval, log: &log.Logger{Writer: &log.IOWriter{Writer: &b}}}
 		p.CountDatagram(Reports, "c", 7)
-		ctx, stop := context.WithTimeout(context.Background(), leastLog*5/2)
+		ctx, stop := context.WithTimeout(context.Background(), minLogInterval*5/2)
 		defer stop()
 		Expect(p.Run(ctx)).To(Succeed())
 		Expect(strings.Count(b.String(), "\n")).To(BeNumerically(">=", 2))
@@ -133,14 +133,14 @@
 	})
 })
 
-// logged is the log line of a snapshot.
+// logged returns the log line of a snapshot, with a log collector's prefix.
 func logged(s Snapshot) string {
 	b, err := json.Marshal(s)
 	Expect(err).NotTo(HaveOccurred())
 	return fmt.Sprintf(`12.5 side-1 {"time":"2026-01-01T00:00:00Z","vm":"v","traffic":%s,"message":"traffic"}`+"\n", b)
 }
 
-var _ = Describe("the account of several processes", func() {
+var _ = Describe("the totals of several processes", func() {
 	sent := func(life string, uptime, bytes int64) Snapshot {
 		return Snapshot{
 			Incarnation: life, UptimeMs: uptime, Kinds: map[string]map[string]Count{"chunks": {"near": {Number: 1, Sent: bytes, Received: 1}}},
@@ -148,7 +148,7 @@
 		}
 	}
 
-	It("takes the newest counts of each start, in any order, and passes over all else", func() {
+	It("include the newest snapshot of each process lifetime, in any order, and skip other lines", func() {
 		var a Totals
 		Expect(a.Read(strings.NewReader("no line\n" + logged(sent("x", 20, 50)) + logged(sent("x", 10, 20)) +
 			`{"message":"request","why":"traffic"}` + "\n" + logged(sent("y", 5, 7))))).To(Succeed())
@@ -159,7 +159,7 @@
 		Expect(a.Calls).To(Equal(map[string]int64{"origin chunk": 57}))
 	})
 
-	It("reads metrics as they are served", func() {
+	It("can be read from a metrics document as /debug/vars serves it", func() {
 		c := counter()
 		c.CountDatagram(Reports, "c", 7)
 		var a Totals
@@ -170,7 +170,7 @@
 		Expect(a.Read(strings.NewReader("{\nbroken"))).NotTo(Succeed())
 	})
 
-	It("is two tables, or a hint where nothing was counted", func() {
+	It("are printed as two tables, or as a hint if there are no counts", func() {
 		var a Totals
 		a.Sum()
 		var b bytes.Buffer
@@ -184,7 +184,7 @@
 		Expect(b.String()).To(MatchRegexp(`origin chunk +5000000`))
 	})
 
-	It("is the sum of what all processes counted, however they were read", func() {
+	It("equal the sum of the newest counts of all processes", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			var text strings.Builder
 			var want int64
@@ -206,7 +206,7 @@
 				got += a.Rows[i].ByDistance["near"].Sent
 			}
 			if got != want {
-				t.Fatalf("%d bytes of %d", got, want)
+				t.Fatalf("the totals hold %d bytes, want %d", got, want)
 			}
 		})
 	})
