--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,5 +1,5 @@
-// Package logsink writes log lines without ever holding up the caller: a reader that does not keep up costs lines, which
-// are counted, and not requests.
+// Package logsink writes log lines without blocking the caller. If the reader of the log is too slow, lines are dropped
+// and counted, so that requests are not delayed.
 package logsink
 
 import (
@@ -13,31 +13,32 @@
 )
 
 const (
-	// queued bounds the lines that wait to be written; at about 300 bytes each it is 1.2 MB.
-	queued = 4096
-	// linesPerSecond and burst bound what is written under load. A process of today's deployments handles about 30
-	// requests a second, each with a line.
+	// queueLines is the capacity of the queue of lines to be written; at about 300 bytes a line it holds 1.2 MB.
+	queueLines = 4096
+	// linesPerSecond and burst are the rate and size of the token bucket that limits the log volume. A process handles
+	// about 30 requests a second and logs one line for each.
 	linesPerSecond = 400
 	burst          = 2000
-	// batchBytes is the most that one write takes.
+	// batchBytes is the size in bytes from which no further line is added to a write.
 	batchBytes = 32 << 10
 )
 
-// Sink is an io.Writer for one line a call.
+// Sink is a non-blocking io.Writer that queues lines for a writer goroutine. Each call to Write takes one line.
 type Sink struct {
 	lines chan []byte
 	limit *rate.Limiter
-	// Dropped counts lines by why they were dropped.
+	// Dropped counts dropped lines by reason: over_rate or queue_full. write_failed counts failed writes, each of which may
+	// hold several lines.
 	Dropped *expvar.Map
 
-	mu   sync.Mutex
-	gaps int
+	mu         sync.Mutex
+	unreported int
 }
 
-// New makes a sink over a writer that may block.
+// New returns a sink for a writer that may block, and starts the goroutine that writes to it.
 func New(w io.Writer) *Sink {
 	s := &Sink{
-		lines: make(chan []byte, queued), limit: rate.NewLimiter(linesPerSecond, burst), Dropped: new(expvar.Map),
+		lines: make(chan []byte, queueLines), limit: rate.NewLimiter(linesPerSecond, burst), Dropped: new(expvar.Map),
 	}
 	go s.drain(w)
 	return s
@@ -59,14 +60,14 @@
 	return len(b), nil
 }
 
-func (s *Sink) drop(why string) {
-	s.Dropped.Add(why, 1)
+func (s *Sink) drop(reason string) {
+	s.Dropped.Add(reason, 1)
 	s.mu.Lock()
-	s.gaps++
+	s.unreported++
 	s.mu.Unlock()
 }
 
-// drain writes what is queued, several lines at once where they wait.
+// drain writes the queued lines, several in one write where more than one is queued.
 func (s *Sink) drain(w io.Writer) {
 	for line := range s.lines {
 		if _, err := w.Write(s.batch(line)); err != nil {
@@ -75,9 +76,9 @@
 	}
 }
 
-// batch puts what is queued behind a line. What was dropped meanwhile comes after that: a line is dropped because those
-// before it are still queued. Told in front, the gap at the end of a burst that went out as one batch was not told
-// until somebody logged again.
+// batch appends the queued lines to a line, and then the notice of dropped lines. The notice comes last because a line
+// is dropped while the lines before it are still queued. If the notice came first, lines dropped at the end of a burst
+// that is written as one batch would not be reported until the next line was logged.
 func (s *Sink) batch(line []byte) []byte {
 	b := slices.Clone(line)
 	for len(b) < batchBytes {
@@ -85,20 +86,20 @@
 		case next := <-s.lines:
 			b = append(b, next...)
 		default:
-			return append(b, s.gap()...)
+			return append(b, s.dropNotice()...)
 		}
 	}
-	return append(b, s.gap()...)
+	return append(b, s.dropNotice()...)
 }
 
-// gap tells the reader how many lines are missing here.
-func (s *Sink) gap() []byte {
+// dropNotice returns a log line with the number of lines dropped since the last notice, or nil if none were.
+func (s *Sink) dropNotice() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.gaps == 0 {
+	if s.unreported == 0 {
 		return nil
 	}
-	n := s.gaps
-	s.gaps = 0
+	n := s.unreported
+	s.unreported = 0
 	return []byte(`{"level":"warn","lines":` + strconv.Itoa(n) + `,"message":"log lines dropped here"}` + "\n")
 }
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -19,50 +19,51 @@
 	spec.Run(t, "The log sink")
 }
 
-// pipe is a writer whose reader may stop reading.
-type pipe struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-	held sync.Mutex
+// blockableWriter is a writer that blocks while the test holds readerLock, like a pipe whose reader has stopped reading.
+type blockableWriter struct {
+	mu         sync.Mutex
+	text       bytes.Buffer
+	readerLock sync.Mutex
 }
 
 // Write implements io.Writer.
-func (p *pipe) Write(b []byte) (int, error) {
-	p.held.Lock()
-	defer p.held.Unlock()
+func (p *blockableWriter) Write(b []byte) (int, error) {
+	p.readerLock.Lock()
+	defer p.readerLock.Unlock()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.text.Write(b)
 }
 
-func (p *pipe) String() string {
+func (p *blockableWriter) String() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.text.String()
 }
 
 var _ = Describe("the log sink", func() {
-	It("never holds up who logs while nobody reads, counts what it drops, and tells the reader", func() {
-		p := &pipe{}
+	It("does not block the caller while the writer is blocked, and counts and reports the dropped lines", func() {
+		p := &blockableWriter{}
 		s := New(p)
 		s.limit.SetLimit(1e9)
 		s.limit.SetBurst(1 << 30)
-		p.held.Lock()
+		p.readerLock.Lock()
 		start := time.Now()
-		for range 3 * queued {
+		for range 3 * queueLines {
 			_, err := s.Write([]byte("line\n"))
 			Expect(err).NotTo(HaveOccurred())
 		}
 		Expect(time.Since(start)).To(BeNumerically("<", time.Second))
-		p.held.Unlock()
+		p.readerLock.Unlock()
 		Expect(s.Dropped.Get("queue_full")).NotTo(BeNil())
 		Eventually(p.String).Should(ContainSubstring("log lines dropped here"))
-		Eventually(func() int { return strings.Count(p.String(), "line\n") }).Should(BeNumerically(">=", queued))
+		Eventually(func() int { return strings.Count(p.String(), "line\n") }).Should(BeNumerically(">=", queueLines))
 	})
 
-	// On a busy machine the writing goroutine stood still with the first line of a burst in its hands, while the queue filled up and
-	// the rest was dropped; it then wrote all that was queued at once, and nothing came after it that could have told of the gap.
-	It("tells of a gap behind the lines that were queued before it, also where no line follows", func() {
+	// Guards against dropped lines that are never reported: if the writing goroutine is delayed after it has taken the first line
+	// of a burst, the queue fills up and the remaining lines are dropped. It then writes the whole queue as one batch, and no line
+	// follows that could carry the notice.
+	It("reports dropped lines after the lines queued before them, even if no further line is logged", func() {
 		s := &Sink{lines: make(chan []byte, 2), limit: rate.NewLimiter(rate.Inf, 1), Dropped: new(expvar.Map)}
 		for _, l := range []string{"a\n", "b\n", "lost\n", "lost\n"} {
 			_, err := s.Write([]byte(l))
@@ -71,8 +72,8 @@
 		Expect(string(s.batch([]byte("first\n")))).To(MatchRegexp(`^first\na\nb\n\{.*"lines":2,.*\}\n$`))
 	})
 
-	It("bounds the volume under load", func() {
-		p := &pipe{}
+	It("limits the rate of lines under load", func() {
+		p := &blockableWriter{}
 		s := New(p)
 		for range 2 * burst {
 			_, _ = s.Write([]byte("line\n"))
