--- a/internal/measure/burst.go
+++ b/internal/measure/burst.go
@@ -47,8 +47,8 @@
 	// Completed counts the VMs that hold the whole version; Live those that were not killed.
 	Completed int `json:"completed"`
 	Live      int `json:"live"`
-	// WrongBytes counts chunks on shelves that differ from the content.
-	WrongBytes              int     `json:"wrong_chunks"`
+	// WrongChunks counts chunks on shelves that differ from the content.
+	WrongChunks              int     `json:"wrong_chunks"`
 	SecondsFirst            float64 `json:"seconds_first"`
 	SecondsHalf             float64 `json:"seconds_half"`
 	SecondsAll              float64 `json:"seconds_all"`
@@ -66,7 +66,7 @@
 	LiveFailed             int     `json:"live_failed"`
 	BusyShare              float64 `json:"busy_share"`
 	Timeline               []point `json:"timeline"`
-	ShareOfWastedDownloads float64 `json:"wasted_share"`
+	WastedShare float64 `json:"wasted_share"`
 }
 
 // point is the number of complete VMs and the origin's copies at a time.
@@ -147,7 +147,7 @@
 	w.untilDone(ctx)
 	row := w.row()
 	pair.report(row)
-	row.WrongBytes = w.wrongChunks(v, content)
+	row.WrongChunks = w.wrongChunks(v, content)
 	return row, nil
 }
 
@@ -279,7 +279,7 @@
 		r.ControlBytesPerChunk = float64(w.linkBytes()-w.bytes-payload) / (float64(moved) / float64(p.Chunk))
 		r.CPUSecondsPerGiB = (cpuTime() - w.cpu).Seconds() / (float64(moved) / (1 << 30))
 		r.BusyShare = float64(busy) / (float64(busy) + float64(moved)/float64(p.Chunk))
-		r.ShareOfWastedDownloads = float64(wasted) / float64(moved)
+		r.WastedShare = float64(wasted) / float64(moved)
 	}
 	return r
 }
--- a/internal/measure/main.go
+++ b/internal/measure/main.go
@@ -202,6 +202,6 @@
 	fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%d/%d\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t%.2f\t%.2f\t%.3f\t%d\t%.1f\t%.2f\t\n",
 		r.VMs, r.Objective, r.Strategy, r.Fault, r.Completed, r.Live, r.SecondsFirst, r.SecondsHalf, r.SecondsAll,
 		r.BoundSeconds, r.HalfRatio, r.TimeRatio, r.OriginCopies, r.ControlBytesPerVMSecond, r.ControlBytesPerChunk, r.CPUSecondsPerGiB,
-		r.BusyShare, r.ShareOfWastedDownloads, r.WrongBytes, r.LiveP95BeforeMs, r.LiveP95TTFTRatio)
+		r.BusyShare, r.WastedShare, r.WrongChunks, r.LiveP95BeforeMs, r.LiveP95TTFTRatio)
 	_ = t.Flush()
 }
--- a/internal/measure/news.go
+++ b/internal/measure/news.go
@@ -106,13 +106,13 @@
 	fmt.Fprintln(t, "gateways\tstagers\tdomains\tregions\tfault\tseed\tchanges\tnever known\tpassed over\tlate\tp50 s\tp95 s\tp99 s\tp100 s\tdifferent\tended\tCPU\ttimers late s\t")
 	a := &w.All
 	fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%.2f\t%.3f\t\n", w.Gateways, w.Stagers, w.Domains,
-		w.Regions, w.Fault, w.Seed, a.Changes, a.Never, a.Passed, a.Late, a.P50, a.P95, a.P99, a.P100, len(w.Different), w.Ended, w.CPUShare, w.LateMost)
+		w.Regions, w.Fault, w.Seed, a.Changes, a.Never, a.PassedOver, a.Late, a.P50, a.P95, a.P99, a.P100, len(w.Different), w.ProcessesEnded, w.CPUShare, w.TimersLateMax)
 	_ = t.Flush()
 	w.printTimes(out)
 	t = tabwriter.NewWriter(out, 9, 0, 1, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "role\tprocesses\tstore calls/s\tstore B/s\tquestions/s\thanded on B/s\tgot B/s\t")
 	for _, r := range w.Roles {
-		fmt.Fprintf(t, "%s\t%d\t%.1f\t%.0f\t%.1f\t%.0f\t%.0f\t\n", r.Role, r.Processes, r.StoreCalls, r.StoreBytes, r.Asked, r.Gave, r.Got)
+		fmt.Fprintf(t, "%s\t%d\t%.1f\t%.0f\t%.1f\t%.0f\t%.0f\t\n", r.Role, r.Processes, r.StoreCallsPerSecond, r.StoreBytesPerSecond, r.QuestionsPerSecond, r.SentBytesPerSecond, r.ReceivedBytesPerSecond)
 	}
 	_ = t.Flush()
 	w.printWrong(out)
@@ -124,13 +124,13 @@
 	t := tabwriter.NewWriter(out, 9, 0, 1, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "change\tnumber\tnever known\tpassed over\tlate\tp50 s\tp95 s\tp99 s\tp100 s\t")
 	for _, k := range w.Kinds {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t\n", k.Name, k.Changes, k.Never, k.Passed, k.Late, k.P50, k.P95, k.P99, k.P100)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t\n", k.Name, k.Changes, k.Never, k.PassedOver, k.Late, k.P50, k.P95, k.P99, k.P100)
 	}
 	_ = t.Flush()
 	t = tabwriter.NewWriter(out, 9, 0, 1, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "learnt by\ttimes\tlast for\tp50 s\tp100 s\t")
 	for _, k := range w.Ways {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.3f\t%.3f\t\n", k.Way, k.Learnt, k.Last, k.P50, k.P100)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%.3f\t%.3f\t\n", k.Way, k.Learnt, k.LastLearnt, k.P50, k.P100)
 	}
 	_ = t.Flush()
 	const width = 50
@@ -148,7 +148,7 @@
 			break
 		}
 		fmt.Fprintf(out, "never known: %s %s, taken at %.2f s, by %d processes, of which %d know later ones: %s\n", n.Key, n.Change, n.AtSeconds,
-			len(n.Processes), len(n.Passed), newsSome(n.Processes))
+			len(n.Processes), len(n.PassedOver), newsSome(n.Processes))
 	}
 	for i, d := range w.Different {
 		if i == newsListed {
--- a/internal/measure/news_test.go
+++ b/internal/measure/news_test.go
@@ -56,8 +56,8 @@
 		for _, l := range r.Roles {
 			Expect(l.Processes).To(Equal(map[string]int{"first gateway": 2, "other gateway": 2, "stager": 6}[l.Role]))
 		}
-		Expect(r.Roles[newsFirst].StoreCalls).To(BeNumerically(">", 0))
-		Expect(r.Roles[newsStager].Asked).To(BeNumerically(">", 0))
+		Expect(r.Roles[newsFirst].StoreCallsPerSecond).To(BeNumerically(">", 0))
+		Expect(r.Roles[newsStager].QuestionsPerSecond).To(BeNumerically(">", 0))
 		i, err := os.Stat(file)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(i.Size()).To(BeNumerically(">", 1000))
--- a/internal/measure/newsrow.go
+++ b/internal/measure/newsrow.go
@@ -16,7 +16,7 @@
 	Name    string  `json:"name"`
 	Changes int     `json:"changes"`
 	Never   int     `json:"never"`
-	Passed  int     `json:"passed_over"`
+	PassedOver  int     `json:"passed_over"`
 	Late    int     `json:"late"`
 	P50     float64 `json:"p50_seconds"`
 	P95     float64 `json:"p95_seconds"`
@@ -30,8 +30,8 @@
 	Change    string   `json:"change"`
 	AtSeconds float64  `json:"at_seconds"`
 	Processes []string `json:"processes"`
-	// Passed are those of the processes that know of later changes of the same topic: the word is lost, and not late.
-	Passed []string `json:"passed_over"`
+	// PassedOver are those of the processes that know of later changes of the same topic: the word is lost, and not late.
+	PassedOver []string `json:"passed_over"`
 }
 
 // newsDifference is a key that a process holds otherwise than the store at the end.
@@ -46,7 +46,7 @@
 type newsWayRow struct {
 	Way    string  `json:"way"`
 	Learnt int     `json:"learnt"`
-	Last   int     `json:"last"`
+	LastLearnt   int     `json:"last"`
 	P50    float64 `json:"p50_seconds"`
 	P100   float64 `json:"p100_seconds"`
 }
@@ -55,11 +55,11 @@
 type newsRoleRow struct {
 	Role       string  `json:"role"`
 	Processes  int     `json:"processes"`
-	StoreCalls float64 `json:"store_calls_per_second"`
-	StoreBytes float64 `json:"store_bytes_per_second"`
-	Asked      float64 `json:"questions_per_second"`
-	Gave       float64 `json:"handed_on_bytes_per_second"`
-	Got        float64 `json:"got_bytes_per_second"`
+	StoreCallsPerSecond float64 `json:"store_calls_per_second"`
+	StoreBytesPerSecond float64 `json:"store_bytes_per_second"`
+	QuestionsPerSecond      float64 `json:"questions_per_second"`
+	SentBytesPerSecond       float64 `json:"handed_on_bytes_per_second"`
+	ReceivedBytesPerSecond        float64 `json:"got_bytes_per_second"`
 }
 
 // newsBin is a bin of the histogram.
@@ -93,10 +93,10 @@
 	Seed             uint64           `json:"seed"`
 	Seconds          float64          `json:"seconds"`
 	Fault            string           `json:"fault"`
-	Ended            int              `json:"processes_ended"`
+	ProcessesEnded            int              `json:"processes_ended"`
 	CPUShare         float64          `json:"cpu_share"`
-	LateMost         float64          `json:"timers_late_most_seconds"`
-	LateP99          float64          `json:"timers_late_p99_seconds"`
+	TimersLateMax         float64          `json:"timers_late_most_seconds"`
+	TimersLateP99          float64          `json:"timers_late_p99_seconds"`
 	All              newsTimes        `json:"all"`
 	Kinds            []newsTimes      `json:"kinds"`
 	Histogram        []newsBin        `json:"histogram"`
@@ -117,11 +117,11 @@
 	}
 	lasted := r.since().Seconds()
 	w.CPUShare = (cpuTime() - r.cpu).Seconds() / lasted
-	w.LateP99, w.LateMost = r.late()
+	w.TimersLateP99, w.TimersLateMax = r.late()
 	w.Roles = r.roles(lasted)
 	for _, q := range r.processes {
 		if q.ctx.Err() != nil {
-			w.Ended++
+			w.ProcessesEnded++
 		}
 	}
 	r.addTimes(w)
@@ -143,8 +143,8 @@
 		w.Points = append(w.Points, worst)
 		if len(n.Processes) > 0 {
 			k.Never++
-			if len(n.Passed) > 0 {
-				k.Passed++
+			if len(n.PassedOver) > 0 {
+				k.PassedOver++
 			}
 			w.Never = append(w.Never, n)
 			continue
@@ -155,7 +155,7 @@
 		k := &w.Kinds[s]
 		k.Name = newsStage(s).String()
 		k.set(times[s])
-		w.All.Changes, w.All.Never, w.All.Passed = w.All.Changes+k.Changes, w.All.Never+k.Never, w.All.Passed+k.Passed
+		w.All.Changes, w.All.Never, w.All.PassedOver = w.All.Changes+k.Changes, w.All.Never+k.Never, w.All.PassedOver+k.PassedOver
 	}
 	all := slices.Concat(times[:]...)
 	w.All.set(all)
@@ -164,7 +164,7 @@
 	for i, l := range ways {
 		if len(l) > 0 {
 			slices.Sort(l)
-			w.Ways = append(w.Ways, newsWayRow{Way: newsWay(i).String(), Learnt: len(l), Last: last[i], P50: newsPart(l, 0.5), P100: newsPart(l, 1)})
+			w.Ways = append(w.Ways, newsWayRow{Way: newsWay(i).String(), Learnt: len(l), LastLearnt: last[i], P50: newsPart(l, 0.5), P100: newsPart(l, 1)})
 		}
 	}
 }
@@ -182,7 +182,7 @@
 		if never {
 			n.Processes = append(n.Processes, p.name)
 			if p.tally.passed(i) {
-				n.Passed = append(n.Passed, p.name)
+				n.PassedOver = append(n.PassedOver, p.name)
 			}
 			continue
 		}
@@ -239,11 +239,11 @@
 		w, now, before := &l[p.role], p.counts(), r.before[i]
 		w.Role = p.role.String()
 		w.Processes++
-		w.StoreCalls += float64(now.calls-before.calls) / lasted
-		w.StoreBytes += float64(now.storeBytes-before.storeBytes) / lasted
-		w.Asked += float64(now.asked-before.asked) / lasted
-		w.Gave += float64(now.gave-before.gave) / lasted
-		w.Got += float64(now.got-before.got) / lasted
+		w.StoreCallsPerSecond += float64(now.calls-before.calls) / lasted
+		w.StoreBytesPerSecond += float64(now.storeBytes-before.storeBytes) / lasted
+		w.QuestionsPerSecond += float64(now.asked-before.asked) / lasted
+		w.SentBytesPerSecond += float64(now.gave-before.gave) / lasted
+		w.ReceivedBytesPerSecond += float64(now.got-before.got) / lasted
 	}
 	return slices.DeleteFunc(l, func(w newsRoleRow) bool { return w.Processes == 0 })
 }
