--- a/internal/measure/baseline.go
+++ b/internal/measure/baseline.go
@@ -15,39 +15,39 @@
 	"github.com/springrail/springrail/internal/id"
 )
 
-// baseline distributes a version without decisions: each VM takes the chunks in order from one fixed place, over the
-// same links as the swarm.
+// baseline distributes a version over a fixed topology instead of the swarm: each VM fetches the chunks in order from
+// one fixed source, over the same links as the swarm.
 type baseline struct {
-	fleet    *fleet.Fleet
-	version  *pb.Version
-	strategy string
-	nodes    []*baselineNode
-	mu       sync.Mutex
-	done     map[id.VM]bool
+	fleet     *fleet.Fleet
+	version   *pb.Version
+	strategy  string
+	nodes     []*baselineNode
+	mu        sync.Mutex
+	completed map[id.VM]bool
 }
 
-// baselineNode is a VM of a baseline.
+// baselineNode is one VM of a baseline; it serves the chunks that it holds to its children.
 type baselineNode struct {
 	agent   *fleet.Agent
 	address string
 	mu      sync.Mutex
 	chunks  [][]byte
-	change  chan struct{}
+	changed chan struct{}
 }
 
 func newBaseline(f *fleet.Fleet, v *pb.Version, strategy string) *baseline {
-	return &baseline{fleet: f, version: v, strategy: strategy, done: map[id.VM]bool{}}
+	return &baseline{fleet: f, version: v, strategy: strategy, completed: map[id.VM]bool{}}
 }
 
 func (b *baseline) complete(a *fleet.Agent) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.done[a.VM]
+	return b.completed[a.VM]
 }
 
 func (b *baseline) start(ctx context.Context) {
 	for _, a := range b.fleet.Agents {
-		n := &baselineNode{agent: a, chunks: make([][]byte, config.ChunkCount(b.version)), change: make(chan struct{})}
+		n := &baselineNode{agent: a, chunks: make([][]byte, config.ChunkCount(b.version)), changed: make(chan struct{})}
 		b.nodes = append(b.nodes, n)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-// parent is the place that a VM takes from; nil is the origin.
+// parent returns the node that a VM fetches from; nil means the origin.
 func (b *baseline) parent(i int) *baselineNode {
 	switch {
 	case i == 0 || b.strategy == strategyOrigin:
@@ -81,18 +81,18 @@
 func (b *baseline) fetch(ctx context.Context, i int, n *baselineNode) {
 	client := &http.Client{Transport: &http.Transport{DialContext: b.fleet.Dialer(n.agent)}}
 	for c := range n.chunks {
-		data, err := b.take(ctx, client, b.parent(i), c)
+		data, err := b.fetchChunk(ctx, client, b.parent(i), c)
 		if err != nil {
 			return
 		}
-		n.put(c, data)
+		n.storeChunk(c, data)
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.done[n.agent.VM] = true
+	b.completed[n.agent.VM] = true
 }
 
-func (b *baseline) take(ctx context.Context, client *http.Client, from *baselineNode, c int) ([]byte, error) {
+func (b *baseline) fetchChunk(ctx context.Context, client *http.Client, from *baselineNode, c int) ([]byte, error) {
 	chunk := int(b.version.GetChunkBytes())
 	start := c * chunk
 	end := min(start+chunk, int(b.version.GetTotalBytes()))
@@ -113,15 +113,15 @@
 	return io.ReadAll(a.Body)
 }
 
-func (n *baselineNode) put(c int, data []byte) {
+func (n *baselineNode) storeChunk(c int, data []byte) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.chunks[c] = data
-	close(n.change)
-	n.change = make(chan struct{})
+	close(n.changed)
+	n.changed = make(chan struct{})
 }
 
-// ServeHTTP sends a chunk once the VM has it.
+// ServeHTTP sends a chunk, waiting until the VM holds it.
 func (n *baselineNode) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var c int
 	if _, err := fmt.Sscanf(r.URL.Path, "/%d", &c); err != nil || c >= len(n.chunks) {
@@ -130,7 +130,7 @@
 	}
 	for {
 		n.mu.Lock()
-		data, change := n.chunks[c], n.change
+		data, change := n.chunks[c], n.changed
 		n.mu.Unlock()
 		if data != nil {
 			_, _ = w.Write(data)
--- a/internal/measure/burst.go
+++ b/internal/measure/burst.go
@@ -15,7 +15,7 @@
 	"github.com/springrail/springrail/internal/transfer"
 )
 
-// The strategies of a burst.
+// The distribution strategies that a burst can be measured with.
 const (
 	strategySwarm    = "swarm"
 	strategyOrigin   = "origin"
@@ -24,7 +24,7 @@
 	strategyPrevious = "previous"
 )
 
-// burstPlan is one burst.
+// burstPlan is the configuration of one burst: the distribution of a version to all VMs of a fleet.
 type burstPlan struct {
 	fleet.Size
 	Strategy  string
@@ -44,11 +44,11 @@
 	Objective string `json:"objective"`
 	Strategy  string `json:"strategy"`
 	Fault     string `json:"fault"`
-	// Completed counts the VMs that hold the whole version; Live those that were not killed.
+	// Completed counts the VMs that hold the whole version, and Live the VMs that were not killed.
 	Completed int `json:"completed"`
 	Live      int `json:"live"`
-	// WrongChunks counts chunks on shelves that differ from the content.
-	WrongChunks              int     `json:"wrong_chunks"`
+	// WrongChunks counts stored chunks whose bytes differ from the content.
+	WrongChunks             int     `json:"wrong_chunks"`
 	SecondsFirst            float64 `json:"seconds_first"`
 	SecondsHalf             float64 `json:"seconds_half"`
 	SecondsAll              float64 `json:"seconds_all"`
@@ -57,29 +57,30 @@
 	HalfRatio               float64 `json:"half_ratio"`
 	OriginCopies            float64 `json:"origin_copies"`
 	ControlBytesPerVMSecond float64 `json:"control_bytes_per_vm_second"`
-	// ControlBytesPerChunk is what a VM spends on all but chunk bytes for each chunk that it takes.
+	// ControlBytesPerChunk is the traffic other than chunk data on VMs' links, per chunk received.
 	ControlBytesPerChunk float64 `json:"control_bytes_per_chunk"`
 	CPUSecondsPerGiB     float64 `json:"cpu_seconds_per_gib"`
-	// LiveP95TTFTRatio is the first-token time (p95) of live requests in the burst against without one; 0 without --live.
-	LiveP95TTFTRatio       float64 `json:"live_p95_ttft_ratio"`
-	LiveP95BeforeMs        float64 `json:"live_p95_before_ms"`
-	LiveFailed             int     `json:"live_failed"`
-	BusyShare              float64 `json:"busy_share"`
-	Timeline               []point `json:"timeline"`
-	WastedShare float64 `json:"wasted_share"`
+	// LiveP95TTFTRatio is the p95 time to first token of live requests during the burst, divided by that before it; 0
+	// without --live.
+	LiveP95TTFTRatio float64      `json:"live_p95_ttft_ratio"`
+	LiveP95BeforeMs  float64      `json:"live_p95_before_ms"`
+	LiveFailed       int          `json:"live_failed"`
+	BusyShare        float64      `json:"busy_share"`
+	Timeline         []burstPoint `json:"timeline"`
+	WastedShare      float64      `json:"wasted_share"`
 }
 
-// point is the number of complete VMs and the origin's copies at a time.
-type point struct {
+// burstPoint is a sample of a burst's progress: the number of complete VMs and the copies that the origin has sent.
+type burstPoint struct {
 	Seconds  float64 `json:"seconds"`
 	Complete int     `json:"complete"`
 	Copies   float64 `json:"copies"`
-	// Held is the mean share of the version that VMs hold.
+	// Held is the mean share of the version's chunks that VMs hold.
 	Held float64 `json:"held"`
 }
 
-// bound is the shortest time that the links allow: a VM's own link, one copy through the origin's link, and all
-// copies through all links.
+// bound returns the shortest time, in seconds, that the links' capacity allows: the longest of the times for the
+// version through a VM's own link, one copy through the origin's link, and all copies through all links.
 func (p *burstPlan) bound() float64 {
 	s, n, b := float64(p.SizeBytes), float64(p.VMs), p.LinkBytesPerSecond
 	o := p.OriginLinks * b
@@ -96,7 +97,7 @@
 	return objectiveTime
 }
 
-// run does one burst and returns its row.
+// run executes one burst and returns its row.
 func (p *burstPlan) run(ctx context.Context) (*burstRow, error) {
 	ctx, stop := context.WithTimeout(ctx, p.Timeout)
 	defer stop()
@@ -108,7 +109,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The context ends first, as a baseline's servers hang on it and not on the fleet's own.
+	// Cancelled before Close: a baseline's servers stop with this context and not with the fleet's own.
 	defer func() {
 		stop()
 		f.Close()
@@ -124,7 +125,7 @@
 	if err != nil {
 		return nil, err
 	}
-	w := newWatch(p, f, v)
+	w := newBurstWatch(p, f, v)
 	if p.Strategy == strategySwarm || p.Strategy == strategyPrevious {
 		if err := f.CreateRollout(v, p.Objective, p.Live == 0, p.liveRevision()); err != nil {
 			return nil, err
@@ -143,15 +144,16 @@
 	w.faults = faults
 	loaded, end := context.WithCancel(ctx)
 	defer end()
-	pair.begin(loaded)
-	w.untilDone(ctx)
+	pair.start(loaded)
+	w.waitDone(ctx)
 	row := w.row()
 	pair.report(row)
 	row.WrongChunks = w.wrongChunks(v, content)
 	return row, nil
 }
 
-// liveRevision is the revision of the rollout that serves before the burst: the log's second record.
+// liveRevision returns the revision of the rollout that serves before the burst: the log's second record; 0 without
+// live requests.
 func (p *burstPlan) liveRevision() uint64 {
 	if p.Live > 0 {
 		return 2
@@ -159,7 +161,8 @@
 	return 0
 }
 
-// previousRelease is the swarm's settings as released before: more connections, slower news.
+// previousRelease returns the swarm settings of the previous release: more connections, and longer intervals between
+// questions to neighbours.
 func previousRelease() transfer.Settings {
 	s := *transfer.NewSettings()
 	s.Neighbours, s.Uploads, s.Downloads, s.PerPeer = 8, 4, 6, 2
@@ -167,34 +170,34 @@
 	return s
 }
 
-// watch notes when each VM is complete.
-type watch struct {
-	plan     *burstPlan
-	fleet    *fleet.Fleet
-	version  *pb.Version
-	complete func(a *fleet.Agent) bool
-	faults   *faults
-	started  time.Time
-	cpu      time.Duration
-	bytes    int64
-	done     map[id.VM]float64
-	// before holds what each agent had moved when the burst began.
-	before   map[id.VM]transfer.Counters
-	timeline []point
+// burstWatch records the progress of a burst and when each VM completes.
+type burstWatch struct {
+	plan            *burstPlan
+	fleet           *fleet.Fleet
+	version         *pb.Version
+	complete        func(a *fleet.Agent) bool
+	faults          *faults
+	startedAt       time.Time
+	cpuBefore       time.Duration
+	linkBytesBefore int64
+	completedAt     map[id.VM]float64
+	// countersBefore holds each agent's transfer counters at the start of the burst.
+	countersBefore map[id.VM]transfer.Counters
+	timeline       []burstPoint
 }
 
-func newWatch(p *burstPlan, f *fleet.Fleet, v *pb.Version) *watch {
-	w := &watch{plan: p, fleet: f, version: v, started: time.Now(), cpu: cpuTime(), done: map[id.VM]float64{},
-		before: map[id.VM]transfer.Counters{},
+func newBurstWatch(p *burstPlan, f *fleet.Fleet, v *pb.Version) *burstWatch {
+	w := &burstWatch{plan: p, fleet: f, version: v, startedAt: time.Now(), cpuBefore: cpuTime(), completedAt: map[id.VM]float64{},
+		countersBefore: map[id.VM]transfer.Counters{},
 	}
-	w.bytes = w.linkBytes()
+	w.linkBytesBefore = w.linkBytes()
 	for _, a := range f.Agents {
-		w.before[a.VM] = a.Manager.Counters()
+		w.countersBefore[a.VM] = a.Manager.Counters()
 	}
 	return w
 }
 
-func (w *watch) linkBytes() int64 {
+func (w *burstWatch) linkBytes() int64 {
 	var n int64
 	for _, a := range w.fleet.Agents {
 		n += a.Link.Bytes.Load()
@@ -202,26 +205,26 @@
 	return n
 }
 
-// untilDone looks until all live VMs are complete or the time is up.
-func (w *watch) untilDone(ctx context.Context) {
+// waitDone polls until all live VMs are complete and all faults have finished, or the context ends.
+func (w *burstWatch) waitDone(ctx context.Context) {
 	next := time.Duration(0)
 	for ctx.Err() == nil {
-		left := 0
+		remaining := 0
 		for _, a := range w.fleet.Agents[:w.plan.VMs] {
-			if _, ok := w.done[a.VM]; ok || a.Link.Dead.Load() {
+			if _, ok := w.completedAt[a.VM]; ok || a.Link.Dead.Load() {
 				continue
 			}
 			if w.complete(a) {
-				w.done[a.VM] = time.Since(w.started).Seconds()
+				w.completedAt[a.VM] = time.Since(w.startedAt).Seconds()
 				continue
 			}
-			left++
+			remaining++
 		}
-		if since := time.Since(w.started); since >= next || left == 0 {
-			w.timeline = append(w.timeline, point{Seconds: since.Seconds(), Complete: len(w.done), Copies: w.copies(), Held: w.held()})
+		if since := time.Since(w.startedAt); since >= next || remaining == 0 {
+			w.timeline = append(w.timeline, burstPoint{Seconds: since.Seconds(), Complete: len(w.completedAt), Copies: w.copies(), Held: w.meanHeldShare()})
 			next = since + 50*time.Millisecond
 		}
-		if left == 0 && w.faults.finished() {
+		if remaining == 0 && w.faults.finished() {
 			return
 		}
 		select {
@@ -231,8 +234,9 @@
 	}
 }
 
-// held is the mean share of the version that VMs hold; baselines do not tell.
-func (w *watch) held() float64 {
+// meanHeldShare returns the mean share of the version's chunks that VMs hold; it is 0 for baselines, which don't
+// report it.
+func (w *burstWatch) meanHeldShare() float64 {
 	var sum float64
 	for _, a := range w.fleet.Agents {
 		if h := a.Manager.Holding(id.Rollout("rollout-" + w.version.GetName())); h != nil {
@@ -243,15 +247,15 @@
 	return sum / float64(len(w.fleet.Agents))
 }
 
-func (w *watch) copies() float64 {
+func (w *burstWatch) copies() float64 {
 	return float64(w.fleet.Platform.Origin.Drawn()) / float64(w.plan.SizeBytes)
 }
 
-func (w *watch) row() *burstRow {
+func (w *burstWatch) row() *burstRow {
 	p := w.plan
 	r := &burstRow{
 		VMs: p.VMs, Domains: p.Domains, Objective: p.objectiveName(), Strategy: p.Strategy, Fault: faultName(p.Fault),
-		Completed: len(w.done), BoundSeconds: p.bound(), OriginCopies: w.copies(), Timeline: w.timeline,
+		Completed: len(w.completedAt), BoundSeconds: p.bound(), OriginCopies: w.copies(), Timeline: w.timeline,
 	}
 	var times []float64
 	var moved, payload, busy, wasted int64
@@ -259,10 +263,10 @@
 		if !a.Link.Dead.Load() {
 			r.Live++
 		}
-		if t, ok := w.done[a.VM]; ok {
+		if t, ok := w.completedAt[a.VM]; ok {
 			times = append(times, t)
 		}
-		c := a.Manager.Counters().Since(w.before[a.VM])
+		c := a.Manager.Counters().Since(w.countersBefore[a.VM])
 		moved += c.Received + c.Origin
 		payload += c.Sent + c.Received + c.Broken + c.Origin
 		busy += c.Busy
@@ -273,29 +277,29 @@
 		r.SecondsFirst, r.SecondsHalf, r.SecondsAll = times[0], times[(len(times)-1)/2], times[len(times)-1]
 	}
 	r.TimeRatio, r.HalfRatio = r.SecondsAll/r.BoundSeconds, r.SecondsHalf/r.BoundSeconds
-	elapsed := time.Since(w.started).Seconds()
+	elapsed := time.Since(w.startedAt).Seconds()
 	if moved > 0 {
-		r.ControlBytesPerVMSecond = float64(w.linkBytes()-w.bytes-payload) / float64(p.VMs) / elapsed
-		r.ControlBytesPerChunk = float64(w.linkBytes()-w.bytes-payload) / (float64(moved) / float64(p.Chunk))
-		r.CPUSecondsPerGiB = (cpuTime() - w.cpu).Seconds() / (float64(moved) / (1 << 30))
+		r.ControlBytesPerVMSecond = float64(w.linkBytes()-w.linkBytesBefore-payload) / float64(p.VMs) / elapsed
+		r.ControlBytesPerChunk = float64(w.linkBytes()-w.linkBytesBefore-payload) / (float64(moved) / float64(p.Chunk))
+		r.CPUSecondsPerGiB = (cpuTime() - w.cpuBefore).Seconds() / (float64(moved) / (1 << 30))
 		r.BusyShare = float64(busy) / (float64(busy) + float64(moved)/float64(p.Chunk))
 		r.WastedShare = float64(wasted) / float64(moved)
 	}
 	return r
 }
 
-// wrongChunks compares what is on the shelves with the content.
-func (w *watch) wrongChunks(v *pb.Version, content []byte) int {
+// wrongChunks counts the stored chunks that differ from the content.
+func (w *burstWatch) wrongChunks(v *pb.Version, content []byte) int {
 	wrong := 0
 	for _, a := range w.fleet.Agents {
 		h := a.Manager.Holding(id.Rollout("rollout-" + v.GetName()))
 		if h == nil {
 			continue
 		}
-		for c := 0; c*p2i(v.GetChunkBytes()) < len(content); c++ {
+		for c := 0; c*toInt(v.GetChunkBytes()) < len(content); c++ {
 			got := h.Chunk(id.Chunk(c))
-			from := c * p2i(v.GetChunkBytes())
-			if got != nil && !bytes.Equal(got, content[from:min(from+p2i(v.GetChunkBytes()), len(content))]) {
+			from := c * toInt(v.GetChunkBytes())
+			if got != nil && !bytes.Equal(got, content[from:min(from+toInt(v.GetChunkBytes()), len(content))]) {
 				wrong++
 			}
 		}
@@ -303,11 +307,11 @@
 	return wrong
 }
 
-func p2i(n uint64) int {
+func toInt(n uint64) int {
 	return int(n)
 }
 
-// cpuTime is the processor time of this process.
+// cpuTime returns the user and system CPU time of this process.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/internal/measure/config.go
+++ b/internal/measure/config.go
@@ -24,9 +24,10 @@
 	"github.com/springrail/springrail/internal/transfer"
 )
 
-// configRow is the result of one experiment with configuration.
+// configRow is the result of one configuration experiment: the propagation of changes, or the recovery of a fresh
+// process.
 type configRow struct {
-	// Parts is the number of agents; Records what the log held.
+	// Parts is the number of agents, and Records the number of records in the log.
 	Parts                    int     `json:"parts"`
 	Entries                  int     `json:"entries"`
 	Records                  int     `json:"records"`
@@ -46,7 +47,7 @@
 	Runs []*configRow `json:"runs"`
 }
 
-// configFlags are the arguments of the command config.
+// configFlags holds the flags of the command config.
 type configFlags struct {
 	parts   []int
 	entries int
@@ -72,7 +73,7 @@
 func (f *configFlags) run(ctx context.Context, w io.Writer) error {
 	var rows []*configRow
 	for _, n := range f.parts {
-		r, err := f.spread(ctx, n)
+		r, err := f.measureFleet(ctx, n)
 		if err != nil {
 			return err
 		}
@@ -105,9 +106,10 @@
 	_ = t.Flush()
 }
 
-// spread measures how changes reach a fleet of agents, and what the fleet costs while nothing changes. Bytes and
-// processor time are per agent, the entries' and the stand-ins' part of the processor included.
-func (f *configFlags) spread(ctx context.Context, parts int) (*configRow, error) {
+// measureFleet measures how long changes take to reach all agents of a fleet, and what the fleet costs while idle.
+// Bytes and CPU time are per agent; CPU time includes that of the entries and the simulated platform, which run in
+// this process.
+func (f *configFlags) measureFleet(ctx context.Context, parts int) (*configRow, error) {
 	const fast = 1 << 30
 	l, err := fleet.New(ctx, fleet.Size{
 		VMs: parts, Domains: f.entries, LinkBytesPerSecond: fast, OriginLinks: 1, Swarm: transfer.NewSettings(),
@@ -129,17 +131,17 @@
 	started := time.Now()
 	var times []float64
 	for i := range f.changes {
-		got, err := f.change(ctx, l, i)
+		got, err := f.timeChange(ctx, l, i)
 		if err != nil {
 			return nil, err
 		}
 		times = append(times, got...)
 		row.ChangesInForceEverywhere++
 	}
-	lasted := time.Since(started).Seconds()
+	elapsed := time.Since(started).Seconds()
 	perAgent := float64(parts) * float64(f.changes)
-	row.BytesPerChange = (float64(linkBytes(l)-bytes) - row.IdleBytesPerSecond*lasted*float64(parts)) / perAgent
-	row.CPUMsPerChange = 1000 * ((cpuTime() - cpu).Seconds() - row.IdleCPUShare*lasted*float64(parts)) / perAgent
+	row.BytesPerChange = (float64(linkBytes(l)-bytes) - row.IdleBytesPerSecond*elapsed*float64(parts)) / perAgent
+	row.CPUMsPerChange = 1000 * ((cpuTime() - cpu).Seconds() - row.IdleCPUShare*elapsed*float64(parts)) / perAgent
 	slices.Sort(times)
 	row.InForceP50Seconds, row.InForceP95Seconds = times[len(times)/2], times[len(times)*95/100]
 	row.InForceMaxSeconds = times[len(times)-1]
@@ -154,8 +156,8 @@
 	return n
 }
 
-// change appends one change and returns the seconds until each agent has folded it.
-func (f *configFlags) change(ctx context.Context, l *fleet.Fleet, i int) ([]float64, error) {
+// timeChange appends one change to the log and returns the seconds until each agent has applied it.
+func (f *configFlags) timeChange(ctx context.Context, l *fleet.Fleet, i int) ([]float64, error) {
 	target := l.Agents[0].Follower.State().Offset() + 1
 	started := time.Now()
 	if err := l.Append(organisationChange(i)); err != nil {
@@ -191,8 +193,8 @@
 	}}
 }
 
-// recoverFrom measures how long a fresh process needs until it holds the configuration of a number of records, of
-// which a tenth made an organisation and the others changed one.
+// recoverFrom measures how long a fresh process takes to load the configuration from a number of records, a tenth of
+// which create organisations while the others update them.
 func recoverFrom(ctx context.Context, records int, source string) (*configRow, error) {
 	l, err := fleet.New(ctx, fleet.Size{VMs: 1, Domains: 1, LinkBytesPerSecond: 1 << 30, OriginLinks: 1, Swarm: transfer.NewSettings()})
 	if err != nil {
@@ -202,37 +204,37 @@
 	if err := l.WaitReady(ctx); err != nil {
 		return nil, err
 	}
-	base := map[int]uint64{}
+	revisions := map[int]uint64{}
 	for i := range records {
 		n := i % max(1, records/10)
 		c := organisationChange(n)
-		c.ChangeId, c.BaseRevision = fmt.Sprint(i), base[n]
-		base[n] = uint64(i) + 1
+		c.ChangeId, c.BaseRevision = fmt.Sprint(i), revisions[n]
+		revisions[n] = uint64(i) + 1
 		if err := l.Append(c); err != nil {
 			return nil, err
 		}
 	}
-	known := l.Agents[0].Follower
-	for known.State().Offset() < id.Offset(records) {
+	follower := l.Agents[0].Follower
+	for follower.State().Offset() < id.Offset(records) {
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-known.Changed():
+		case <-follower.Changed():
 		}
 	}
 	row := &configRow{Parts: 1, Entries: 1, Records: records, Source: source}
 	started := time.Now()
 	if source == "peers" {
-		err = fromPeer(ctx, l, records)
+		err = recoverFromPeer(ctx, l, records)
 	} else {
-		err = fromLog(ctx, l, known.State().Save(), records, source == "snapshot")
+		err = recoverFromLog(ctx, l, follower.State().Save(), records, source == "snapshot")
 	}
 	row.RecoverySeconds = time.Since(started).Seconds()
 	return row, err
 }
 
-// fromPeer takes the configuration from an entry.
-func fromPeer(ctx context.Context, l *fleet.Fleet, records int) error {
+// recoverFromPeer loads the configuration from an entry process.
+func recoverFromPeer(ctx context.Context, l *fleet.Fleet, records int) error {
 	s := configlog.NewStore(func(kernel.Time) {})
 	a, err := l.Config(0).Sync(ctx, &pb.SyncRequest{})
 	if err != nil {
@@ -247,8 +249,9 @@
 	return checkOffset(s, records)
 }
 
-// fromLog reads the log, or one whose older records have expired after a snapshot.
-func fromLog(ctx context.Context, l *fleet.Fleet, state *pb.State, records int, snapshot bool) error {
+// recoverFromLog loads the configuration from the log; with snapshot, from a snapshot in the log before which all
+// records have expired.
+func recoverFromLog(ctx context.Context, l *fleet.Fleet, state *pb.State, records int, snapshot bool) error {
 	address := l.Address
 	if snapshot {
 		data, err := proto.Marshal(&pb.Record{Body: &pb.Record_Snapshot{Snapshot: state}})
@@ -278,7 +281,7 @@
 
 func checkOffset(s *configlog.Store, records int) error {
 	if got := s.State().Offset(); got < id.Offset(records) {
-		return fmt.Errorf("recovered up to offset %d of %d", got, records)
+		return fmt.Errorf("recovered only up to offset %d of %d", got, records)
 	}
 	return nil
 }
--- a/internal/measure/decide.go
+++ b/internal/measure/decide.go
@@ -16,11 +16,11 @@
 	"github.com/springrail/springrail/internal/decide"
 )
 
-// decideFlags are the arguments of the command decide.
+// decideFlags holds the flags of the command decide.
 type decideFlags struct {
 	scenarios []string
-	ways      []string
-	against   string
+	variants  []string
+	baseline  string
 	seed      uint64
 	seeds     int
 	jobs      int
@@ -28,7 +28,7 @@
 	json      bool
 }
 
-// decideRun is the JSON of one scenario.
+// decideRun is the result of one scenario as printed in JSON.
 type decideRun struct {
 	Scenario    string              `json:"scenario"`
 	Differences []decide.Difference `json:"differences"`
@@ -46,8 +46,8 @@
 		names = append(names, w.Name)
 	}
 	c.Flag("scenario", "File of a scenario; may be given again.").Required().StringsVar(&f.scenarios)
-	c.Flag("way", "A way to decide: "+strings.Join(names, ", ")+"; may be given again. None takes all.").EnumsVar(&f.ways, names...)
-	c.Flag("against", "The way that the others are held against.").Default(names[0]).EnumVar(&f.against, names...)
+	c.Flag("way", "A way to decide: "+strings.Join(names, ", ")+"; may be given again. None takes all.").EnumsVar(&f.variants, names...)
+	c.Flag("against", "The way that the others are held against.").Default(names[0]).EnumVar(&f.baseline, names...)
 	c.Flag("seed", "First seed; each way plays the same ones.").Default("1").Uint64Var(&f.seed)
 	c.Flag("seeds", "Number of seeds.").Default("20").IntVar(&f.seeds)
 	c.Flag("jobs", "Plays at one time.").Default("2").IntVar(&f.jobs)
@@ -56,17 +56,17 @@
 	return f.run
 }
 
-// list is the ways to play, the one that the others are held against first.
-func (f *decideFlags) list() []*decide.Variant {
-	names := f.ways
+// selectedVariants returns the variants to simulate, the baseline first.
+func (f *decideFlags) selectedVariants() []*decide.Variant {
+	names := f.variants
 	if len(names) == 0 {
 		for _, w := range decide.Variants() {
 			names = append(names, w.Name)
 		}
 	}
-	l := []*decide.Variant{decide.VariantByName(f.against)}
+	l := []*decide.Variant{decide.VariantByName(f.baseline)}
 	for _, n := range names {
-		if n != f.against {
+		if n != f.baseline {
 			l = append(l, decide.VariantByName(n))
 		}
 	}
@@ -80,7 +80,7 @@
 		if err != nil {
 			return err
 		}
-		rows, err := decide.Run(ctx, s, f.list(), f.seed, max(1, f.seeds), f.jobs)
+		rows, err := decide.Run(ctx, s, f.selectedVariants(), f.seed, max(1, f.seeds), f.jobs)
 		if err != nil {
 			return err
 		}
@@ -104,14 +104,14 @@
 	return nil
 }
 
-// print writes a scenario's table: each way's worth, its difference from the first by the same seeds, and means of what
-// makes it up.
+// print writes a scenario's table: each variant's worth, its difference from the baseline over the same seeds, and
+// the means of the metrics behind it.
 func (r *decideRun) print(out io.Writer) {
 	fmt.Fprintf(out, "%s, %d seeds\n", r.Scenario, r.Differences[0].Seeds)
 	t := tabwriter.NewWriter(out, 9, 0, 1, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "way\tworth\tdifference\t95% within\twhole\twindows\tkind\tdomain\tin time\tlate\trefused\tp50 ms\tp95 ms\tpredicted\tbusiest\ton over\t")
 	for i, d := range r.Differences {
-		m := decideMean(r.Results[i])
+		m := meanResult(r.Results[i])
 		fmt.Fprintf(t, "%s\t%.3f\t%+.4f\t%.4f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t%.2f\t%.2f\t%d\t\n", d.Variant, d.Worth, d.Mean, d.HalfInterval,
 			m.Overall, m.WorstWindows, m.WorstKind, m.WorstDomain, m.InTime, m.Late, m.Refused, m.FirstEventMs["p50"], m.FirstEventMs["p95"], m.Prediction, m.BusiestRatio, m.BegunOnExpired)
 	}
@@ -119,8 +119,8 @@
 	fmt.Fprintln(out)
 }
 
-// decideMean is the mean of a way's results; what counts events is their sum.
-func decideMean(l []*decide.Result) *decide.Result {
+// meanResult returns the mean of a variant's results over all seeds; event counts are summed.
+func meanResult(l []*decide.Result) *decide.Result {
 	m := &decide.Result{FirstEventMs: map[string]float64{}}
 	n := float64(len(l))
 	for _, r := range l {
@@ -137,13 +137,13 @@
 			m.FirstEventMs[k] += v / n
 		}
 		m.BegunOnExpired += r.BegunOnExpired
-		m.ShareBySecond = decideAdd(m.ShareBySecond, r.ShareBySecond, n)
+		m.ShareBySecond = addMean(m.ShareBySecond, r.ShareBySecond, n)
 	}
 	return m
 }
 
-// decideAdd adds an n-th of each second.
-func decideAdd(sum, l []float64, n float64) []float64 {
+// addMean adds 1/n of each second's value to the sums.
+func addMean(sum, l []float64, n float64) []float64 {
 	for len(sum) < len(l) {
 		sum = append(sum, 0)
 	}
@@ -153,13 +153,14 @@
 	return sum
 }
 
-// decideWorst are the ways that a plot shows beside the first: those that differ most.
-func (r *decideRun) decideWorst() []int {
-	const most = 5
+// mostDifferent returns the indices of the variants that a plot shows: the baseline and those whose mean difference
+// from it is largest.
+func (r *decideRun) mostDifferent() []int {
+	const maxShown = 5
 	l := make([]int, 0, len(r.Differences))
 	for i := 1; i < len(r.Differences); i++ {
 		l = append(l, i)
 	}
 	sort.SliceStable(l, func(a, b int) bool { return math.Abs(r.Differences[l[a]].Mean) > math.Abs(r.Differences[l[b]].Mean) })
-	return append([]int{0}, l[:min(most, len(l))]...)
+	return append([]int{0}, l[:min(maxShown, len(l))]...)
 }
--- a/internal/measure/decide_test.go
+++ b/internal/measure/decide_test.go
@@ -13,7 +13,7 @@
 var _ = Describe("springrail-measure decide", func() {
 	const scenario = "../../examples/decide/crashes.toml"
 
-	It("prints a table of ways and draws the seconds", func() {
+	It("prints a table of variants and plots their worth by second", func() {
 		var out, problems bytes.Buffer
 		plot := filepath.Join(GinkgoT().TempDir(), "p.svg")
 		code := Main([]string{"decide", "--scenario", scenario, "--way", "no-layout", "--seeds", "2", "--plot", plot}, &out, &problems)
@@ -26,7 +26,7 @@
 		Expect(string(b)).To(ContainSubstring("no-layout"))
 	})
 
-	It("prints the same JSON each time", func() {
+	It("prints the same JSON for the same seeds", func() {
 		play := func() string {
 			var out, problems bytes.Buffer
 			args := []string{"decide", "--scenario", scenario, "--way", "standing", "--way", "retry-third", "--seeds", "2", "--seed", "5", "--json"}
@@ -42,13 +42,13 @@
 		Expect(all.Runs[0].Results[1][1].Seed).To(BeEquivalentTo(6))
 	})
 
-	DescribeTable("says what is wrong", func(want string, args ...string) {
+	DescribeTable("reports invalid arguments", func(want string, args ...string) {
 		var out, problems bytes.Buffer
 		Expect(Main(append([]string{"decide"}, args...), &out, &problems)).NotTo(BeZero())
 		Expect(problems.String()).To(ContainSubstring(want))
 	},
 		Entry("without a scenario", "scenario"),
-		Entry("with a way that there is not", "must be one of standing,", "--scenario", scenario, "--way", "none"),
-		Entry("with a file that there is not", "no such file", "--scenario", "none.toml"),
+		Entry("with an unknown variant", "must be one of standing,", "--scenario", scenario, "--way", "none"),
+		Entry("with a missing file", "no such file", "--scenario", "none.toml"),
 	)
 })
--- a/internal/measure/decideplot.go
+++ b/internal/measure/decideplot.go
@@ -10,17 +10,17 @@
 	"gonum.org/v1/plot/plotutil"
 )
 
-// plot draws the share of what is owed that is earned, by the second in which requests came, for the first way and those that
-// differ most from it.
+// plot draws the share of the attainable worth that requests earned, by the second of their arrival, for the baseline
+// and the variants that differ most from it.
 func (r *decideRun) plot(file string) error {
 	g := plot.New()
 	g.Title.Text = fmt.Sprintf("%s: mean of %d seeds", r.Scenario, r.Differences[0].Seeds)
 	g.X.Label.Text = "second in which requests came"
 	g.Y.Label.Text = "earned over owed"
 	g.Y.Min, g.Y.Max = 0, 1
-	for n, i := range r.decideWorst() {
+	for n, i := range r.mostDifferent() {
 		var l plotter.XYs
-		for at, y := range decideMean(r.Results[i]).ShareBySecond {
+		for at, y := range meanResult(r.Results[i]).ShareBySecond {
 			l = append(l, plotter.XY{X: float64(at), Y: y})
 		}
 		c, err := plotter.NewLine(l)
--- a/internal/measure/fault.go
+++ b/internal/measure/fault.go
@@ -10,7 +10,7 @@
 	"github.com/springrail/springrail/internal/standin"
 )
 
-// The shares of VMs that faults touch, as the goals name them.
+// The share of VMs that each fault affects, as the measured goals define it.
 const (
 	deathShare   = 0.10
 	stallShare   = 0.10
@@ -18,48 +18,48 @@
 	slowShare    = 0.10
 )
 
-// faultNames lists the faults of a burst.
+// faultNames lists the faults that can be injected into a burst.
 var faultNames = []string{
 	"vm-death", "stall", "slow-peer", "corrupt-peer", "corrupt-origin", "version-swap", "domain-cut", "origin-down",
 	"store-down", "list-lag",
 }
 
-// faults applies faults to a fleet while a burst runs.
+// faults injects faults into a fleet while a burst runs.
 type faults struct {
-	plan   *burstPlan
-	fleet  *fleet.Fleet
-	random *rand.Rand
-	cancel context.CancelFunc
-	wait   sync.WaitGroup
-	mu     sync.Mutex
-	open   int
+	plan    *burstPlan
+	fleet   *fleet.Fleet
+	random  *rand.Rand
+	cancel  context.CancelFunc
+	wait    sync.WaitGroup
+	mu      sync.Mutex
+	running int
 }
 
-// startFaults begins the plan's faults a quarter into the bound.
+// startFaults injects the plan's faults after a quarter of the burst's bound.
 func startFaults(ctx context.Context, p *burstPlan, f *fleet.Fleet) *faults {
 	ctx, stop := context.WithCancel(ctx)
-	s := &faults{plan: p, fleet: f, random: rand.New(rand.NewPCG(p.Seed, 1)), cancel: stop, open: len(p.Fault)}
+	s := &faults{plan: p, fleet: f, random: rand.New(rand.NewPCG(p.Seed, 1)), cancel: stop, running: len(p.Fault)}
 	for _, name := range p.Fault {
 		s.wait.Go(func() {
-			defer s.closeOne()
-			s.pause(ctx)
+			defer s.faultEnded()
+			s.waitQuarterBound(ctx)
 			s.apply(ctx, name)
 		})
 	}
 	return s
 }
 
-func (s *faults) closeOne() {
+func (s *faults) faultEnded() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open--
+	s.running--
 }
 
-// finished says whether all faults have been applied and those that end have ended.
+// finished reports whether all faults have been injected and the temporary ones have ended.
 func (s *faults) finished() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.open == 0
+	return s.running == 0
 }
 
 func (s *faults) stop() {
@@ -67,8 +67,8 @@
 	s.wait.Wait()
 }
 
-// pause waits a quarter of the bound.
-func (s *faults) pause(ctx context.Context) {
+// waitQuarterBound waits a quarter of the burst's bound.
+func (s *faults) waitQuarterBound(ctx context.Context) {
 	const share = 0.25
 	select {
 	case <-ctx.Done():
@@ -76,8 +76,8 @@
 	}
 }
 
-// some picks a share of the agents.
-func (s *faults) some(share float64) []*fleet.Agent {
+// randomAgents returns a random share of the agents, at least one.
+func (s *faults) randomAgents(share float64) []*fleet.Agent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := max(1, int(share*float64(len(s.fleet.Agents))))
@@ -92,35 +92,35 @@
 	origin := s.fleet.Platform.Origin
 	switch name {
 	case "vm-death":
-		for _, a := range s.some(deathShare) {
+		for _, a := range s.randomAgents(deathShare) {
 			a.Kill()
 		}
 	case "stall":
-		for _, a := range s.some(stallShare) {
+		for _, a := range s.randomAgents(stallShare) {
 			a.Link.SetRate(1)
 			a.Link.Dead.Store(true)
 		}
 	case "slow-peer":
-		for _, a := range s.some(slowShare) {
+		for _, a := range s.randomAgents(slowShare) {
 			a.Link.Up.SetLimit(a.Link.Up.Limit() / 10)
 		}
 	case "corrupt-peer":
-		for _, a := range s.some(corruptShare) {
+		for _, a := range s.randomAgents(corruptShare) {
 			a.Link.Corrupt.Store(true)
 		}
 	case "corrupt-origin":
 		origin.SetFaults(standin.WeightsFaults{CorruptEvery: 10})
 	case "version-swap":
 		origin.SetFaults(standin.WeightsFaults{Swap: true})
-		s.pause(ctx)
+		s.waitQuarterBound(ctx)
 		origin.SetFaults(standin.WeightsFaults{})
 	case "domain-cut":
 		s.fleet.CutOff(s.fleet.Agents[0].Domain)
-		s.pause(ctx)
+		s.waitQuarterBound(ctx)
 		s.fleet.Heal()
 	case "origin-down":
 		origin.SetFaults(standin.WeightsFaults{Outage: true})
-		s.pause(ctx)
+		s.waitQuarterBound(ctx)
 		origin.SetFaults(standin.WeightsFaults{})
 	case "store-down":
 		s.fleet.Platform.Store.SetFaults(standin.WeightsFaults{Outage: true})
--- a/internal/measure/live.go
+++ b/internal/measure/live.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	// liveVersionBytes is the size of the version that serves while the burst brings the next one.
+	// liveVersionBytes is the size of the version that serves live requests while the burst distributes the next one.
 	liveVersionBytes = 256 << 10
-	// liveTokens is the length of an answer.
+	// liveTokens is the number of tokens in an answer.
 	liveTokens = 16
-	// liveBefore is how long the load is measured without a burst.
-	liveBefore = 3 * time.Second
-	// longestMicros bounds the histogram of first-token times, in microseconds.
-	longestMicros = 60_000_000
+	// liveBaselineTime is how long the load is measured before the burst.
+	liveBaselineTime = 3 * time.Second
+	// maxFirstTokenMicros is the upper limit of the histogram of times to first token, in microseconds.
+	maxFirstTokenMicros = 60_000_000
 )
 
-// liveLoad sends chat completions at fixed times and notes when the first token came, counted from the time at which
-// the request was meant to be sent.
+// liveLoad sends chat completions at a fixed rate and records the time to first token, counted from the scheduled
+// send time.
 type liveLoad struct {
-	fleet  *fleet.Fleet
-	client *http.Client
-	every  time.Duration
-	mu     sync.Mutex
-	times  *hdrhistogram.Histogram
-	failed int
-	wait   sync.WaitGroup
+	fleet           *fleet.Fleet
+	client          *http.Client
+	interval        time.Duration
+	mu              sync.Mutex
+	firstTokenTimes *hdrhistogram.Histogram
+	failed          int
+	wait            sync.WaitGroup
 }
 
 func newLiveLoad(f *fleet.Fleet, perSecond int) *liveLoad {
 	return &liveLoad{
 		fleet: f, client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: perSecond}},
-		every: time.Second / time.Duration(perSecond), times: hdrhistogram.New(1, longestMicros, 3),
+		interval: time.Second / time.Duration(perSecond), firstTokenTimes: hdrhistogram.New(1, maxFirstTokenMicros, 3),
 	}
 }
 
-// run sends until the context ends, and waits for the answers.
+// run sends requests until the context ends, then waits for all answers.
 func (l *liveLoad) run(ctx context.Context) {
 	next := time.Now()
 	for i := 0; ctx.Err() == nil; i++ {
@@ -53,14 +53,14 @@
 		case <-ctx.Done():
 		case <-time.After(time.Until(next)):
 			at := next
-			l.wait.Go(func() { l.one(i, at) })
+			l.wait.Go(func() { l.sendRequest(i, at) })
 		}
-		next = next.Add(l.every)
+		next = next.Add(l.interval)
 	}
 	l.wait.Wait()
 }
 
-func (l *liveLoad) one(i int, at time.Time) {
+func (l *liveLoad) sendRequest(i int, at time.Time) {
 	e := l.fleet.Entries[i%len(l.fleet.Entries)]
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"user","content":"question %d"}]}`,
 		fleet.Model, liveTokens, i)
@@ -76,10 +76,10 @@
 		l.failed++
 		return
 	}
-	_ = l.times.RecordValue(max(1, first.Sub(at).Microseconds()))
+	_ = l.firstTokenTimes.RecordValue(max(1, first.Sub(at).Microseconds()))
 }
 
-// read returns when the first token came and whether the answer was whole.
+// read returns when the first token arrived and whether the answer was complete.
 func (l *liveLoad) read(r *http.Request) (first time.Time, whole bool) {
 	a, err := l.client.Do(r)
 	if err != nil {
@@ -96,26 +96,26 @@
 	return first, whole && a.StatusCode == http.StatusOK
 }
 
-// p95 is the first-token time of 95 in 100, in ms.
+// p95 returns the 95th percentile of the time to first token, in ms.
 func (l *liveLoad) p95() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return float64(l.times.ValueAtQuantile(95)) / 1000
+	return float64(l.firstTokenTimes.ValueAtQuantile(95)) / 1000
 }
 
-// livePair is the same load before and in a burst; nil where none was asked for.
+// livePair holds the same load before and during a burst; it is nil without --live.
 type livePair struct {
 	before, during *liveLoad
 }
 
-// begin sends the load while the burst runs.
-func (p *livePair) begin(ctx context.Context) {
+// start starts the load that runs during the burst.
+func (p *livePair) start(ctx context.Context) {
 	if p != nil {
 		p.during.fleet.Running.Go(func() { p.during.run(ctx) })
 	}
 }
 
-// report puts what callers saw into the row.
+// report adds the load's latencies and failures to the row.
 func (p *livePair) report(r *burstRow) {
 	if p == nil {
 		return
@@ -125,7 +125,8 @@
 	r.LiveFailed = p.before.failed + p.during.failed
 }
 
-// startLive makes a first version live on all VMs and measures the load on it without a burst.
+// startLive distributes a first version to all VMs and measures the load on it before the burst; it returns nil
+// without --live.
 func (p *burstPlan) startLive(ctx context.Context, f *fleet.Fleet) (*livePair, error) {
 	if p.Live == 0 {
 		return nil, nil
@@ -141,14 +142,14 @@
 		for len(a.Follower.Status().GetLive()) == 0 {
 			select {
 			case <-ctx.Done():
-				return nil, fmt.Errorf("%s serves nothing: %w", a.VM, ctx.Err())
+				return nil, fmt.Errorf("VM %s serves no version: %w", a.VM, ctx.Err())
 			case <-time.After(10 * time.Millisecond):
 			}
 		}
 	}
 	time.Sleep(time.Second)
 	before := newLiveLoad(f, p.Live)
-	quiet, stop := context.WithTimeout(ctx, liveBefore)
+	quiet, stop := context.WithTimeout(ctx, liveBaselineTime)
 	defer stop()
 	before.run(quiet)
 	return &livePair{before: before, during: newLiveLoad(f, p.Live)}, ctx.Err()
--- a/internal/measure/main.go
+++ b/internal/measure/main.go
@@ -1,4 +1,5 @@
-// Package measure runs experiments on real parts over loopback with shaped links.
+// Package measure implements the command springrail-measure: experiments with real components over loopback
+// connections of limited bandwidth.
 package measure
 
 import (
@@ -22,12 +23,12 @@
 	"github.com/springrail/springrail/internal/transfer"
 )
 
-// Main runs the experiments' command line and returns the exit code.
-func Main(args []string, out, problems io.Writer) int {
+// Main runs the command line of springrail-measure and returns its exit code.
+func Main(args []string, stdout, stderr io.Writer) int {
 	a := kingpin.New("springrail-measure", "Runs experiments on real parts over loopback with shaped links.")
 	a.HelpFlag.Short('h')
-	a.UsageWriter(out)
-	a.ErrorWriter(problems)
+	a.UsageWriter(stdout)
+	a.ErrorWriter(stderr)
 	profile := a.Flag("cpu-profile", "File for a processor profile.").String()
 	actions := map[string]func(ctx context.Context, w io.Writer) error{
 		"config": configCommand(a.Command("config", "Time until a change is in force, its cost, and recovery.")),
@@ -42,7 +43,7 @@
 		return 0
 	}
 	if err != nil {
-		fmt.Fprintf(problems, "springrail-measure: %v; see springrail-measure --help\n", err)
+		fmt.Fprintf(stderr, "springrail-measure: %v; see springrail-measure --help\n", err)
 		return 2
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
@@ -50,29 +51,29 @@
 	if *profile != "" {
 		f, err := os.Create(*profile)
 		if err != nil {
-			fmt.Fprintf(problems, "springrail-measure: %v\n", err)
+			fmt.Fprintf(stderr, "springrail-measure: %v\n", err)
 			return 1
 		}
 		defer f.Close()
 		if err := pprof.StartCPUProfile(f); err != nil {
-			fmt.Fprintf(problems, "springrail-measure: %v\n", err)
+			fmt.Fprintf(stderr, "springrail-measure: %v\n", err)
 			return 1
 		}
 		defer pprof.StopCPUProfile()
 	}
-	if err := actions[name](ctx, out); err != nil {
-		fmt.Fprintf(problems, "springrail-measure: %v\n", err)
+	if err := actions[name](ctx, stdout); err != nil {
+		fmt.Fprintf(stderr, "springrail-measure: %v\n", err)
 		return 1
 	}
 	return 0
 }
 
-// runs is the JSON of an experiment.
-type runs struct {
+// burstRuns is the JSON output of the command burst.
+type burstRuns struct {
 	Runs []*burstRow `json:"runs"`
 }
 
-// burstFlags are the arguments of the command burst.
+// burstFlags holds the flags of the command burst.
 type burstFlags struct {
 	vms         []int
 	domains     int
@@ -122,7 +123,7 @@
 	return f.run
 }
 
-// plans lists the bursts that the flags ask for.
+// plans returns the bursts for all combinations of the flags, each repeated as --repeat says.
 func (f *burstFlags) plans() []*burstPlan {
 	strategies := f.strategies
 	if len(strategies) == 0 {
@@ -141,9 +142,9 @@
 	return l
 }
 
-// originShare is the part of the version's size that everyone-from-the-origin is measured with: its ratio to its own
-// bound does not hang on the size, and whole it would take half an hour.
-const originShare = 8
+// originSizeDivisor reduces the version's size for the strategy origin: its ratio to its bound does not depend on the
+// size, and the full size would take half an hour.
+const originSizeDivisor = 8
 
 func (f *burstFlags) plan(vms int, objective, strategy string, i uint64) *burstPlan {
 	p := &burstPlan{
@@ -162,15 +163,15 @@
 		p.Objective = pb.Objective_OBJECTIVE_ORIGIN_BYTES
 	}
 	if strategy == strategyOrigin {
-		p.SizeBytes /= originShare
+		p.SizeBytes /= originSizeDivisor
 	}
 	return p
 }
 
-// burstTimeout bounds one burst.
+// burstTimeout limits the duration of one burst.
 const burstTimeout = 3 * time.Minute
 
-// The names of the objectives.
+// The objectives of a rollout, as values of the flag.
 const (
 	objectiveTime  = "time"
 	objectiveBytes = "origin-bytes"
@@ -189,7 +190,7 @@
 		}
 	}
 	if f.json {
-		return json.NewEncoder(w).Encode(runs{Runs: rows})
+		return json.NewEncoder(w).Encode(burstRuns{Runs: rows})
 	}
 	return nil
 }
--- a/internal/measure/news.go
+++ b/internal/measure/news.go
@@ -14,17 +14,17 @@
 	"github.com/gravitational/trace"
 )
 
-// errNeverKnown says that a change did not reach some process.
-var errNeverKnown = errors.New("changes were never known by some process")
+// errNeverKnown means that some change never reached some process.
+var errNeverKnown = errors.New("some changes never reached every process")
 
-// errDifferent says that a process does not hold what the store does.
-var errDifferent = errors.New("processes hold something else than the store at the end")
+// errDifferent means that a process's final state differs from the store's.
+var errDifferent = errors.New("the final state of some processes differs from the store's")
 
 type newsRuns struct {
 	Runs []*newsRow `json:"runs"`
 }
 
-// newsFlags are the arguments of the command news.
+// newsFlags holds the flags of the command news.
 type newsFlags struct {
 	plan    newsPlan
 	seconds float64
@@ -58,8 +58,8 @@
 }
 
 func (f *newsFlags) run(ctx context.Context, w io.Writer) error {
-	f.plan.lasts = time.Duration(f.seconds * float64(time.Second))
-	if err := f.plan.check(); err != nil {
+	f.plan.duration = time.Duration(f.seconds * float64(time.Second))
+	if err := f.plan.validate(); err != nil {
 		return err
 	}
 	var rows []*newsRow
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// newsListed is how many lines of what went wrong are printed; JSON has all.
-const newsListed = 12
+// newsMaxPrintedProblems limits how many lost changes and how many differences are printed; JSON has all.
+const newsMaxPrintedProblems = 12
 
 // print writes the row as tables.
 func (w *newsRow) print(out io.Writer) {
@@ -108,19 +108,19 @@
 	fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%.2f\t%.3f\t\n", w.Gateways, w.Stagers, w.Domains,
 		w.Regions, w.Fault, w.Seed, a.Changes, a.Never, a.PassedOver, a.Late, a.P50, a.P95, a.P99, a.P100, len(w.Different), w.ProcessesEnded, w.CPUShare, w.TimersLateMax)
 	_ = t.Flush()
-	w.printTimes(out)
+	w.printDelays(out)
 	t = tabwriter.NewWriter(out, 9, 0, 1, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "role\tprocesses\tstore calls/s\tstore B/s\tquestions/s\thanded on B/s\tgot B/s\t")
 	for _, r := range w.Roles {
 		fmt.Fprintf(t, "%s\t%d\t%.1f\t%.0f\t%.1f\t%.0f\t%.0f\t\n", r.Role, r.Processes, r.StoreCallsPerSecond, r.StoreBytesPerSecond, r.QuestionsPerSecond, r.SentBytesPerSecond, r.ReceivedBytesPerSecond)
 	}
 	_ = t.Flush()
-	w.printWrong(out)
+	w.printProblems(out)
 	fmt.Fprintln(out)
 }
 
-// printTimes writes the times by kind, by way and as a histogram.
-func (w *newsRow) printTimes(out io.Writer) {
+// printDelays writes the propagation delays by kind of change, by how processes learnt of it, and as a histogram.
+func (w *newsRow) printDelays(out io.Writer) {
 	t := tabwriter.NewWriter(out, 9, 0, 1, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "change\tnumber\tnever known\tpassed over\tlate\tp50 s\tp95 s\tp99 s\tp100 s\t")
 	for _, k := range w.Kinds {
@@ -140,18 +140,18 @@
 	}
 }
 
-// printWrong lists what was never known, and what processes hold otherwise than the store at the end.
-func (w *newsRow) printWrong(out io.Writer) {
+// printProblems lists the changes that some process never applied, and the final differences from the store.
+func (w *newsRow) printProblems(out io.Writer) {
 	for i, n := range w.Never {
-		if i == newsListed {
+		if i == newsMaxPrintedProblems {
 			fmt.Fprintf(out, "... %d more\n", len(w.Never)-i)
 			break
 		}
 		fmt.Fprintf(out, "never known: %s %s, taken at %.2f s, by %d processes, of which %d know later ones: %s\n", n.Key, n.Change, n.AtSeconds,
-			len(n.Processes), len(n.PassedOver), newsSome(n.Processes))
+			len(n.Processes), len(n.PassedOver), newsAbbreviate(n.Processes))
 	}
 	for i, d := range w.Different {
-		if i == newsListed {
+		if i == newsMaxPrintedProblems {
 			fmt.Fprintf(out, "... %d more\n", len(w.Different)-i)
 			break
 		}
@@ -159,11 +159,11 @@
 	}
 }
 
-// newsSome names the first of some processes.
-func newsSome(l []string) string {
-	const most = 4
-	if len(l) <= most {
+// newsAbbreviate joins the first names of a list of processes.
+func newsAbbreviate(l []string) string {
+	const maxNames = 4
+	if len(l) <= maxNames {
 		return strings.Join(l, " ")
 	}
-	return strings.Join(l[:most], " ") + " ..."
+	return strings.Join(l[:maxNames], " ") + " ..."
 }
--- a/internal/measure/news_test.go
+++ b/internal/measure/news_test.go
@@ -22,19 +22,19 @@
 	spec.Run(t, "Measure")
 }
 
-// small is a run of a few seconds.
-func small(more ...string) []string {
+// smallRun returns the arguments of a run of a few seconds.
+func smallRun(more ...string) []string {
 	return append([]string{
 		"news", "--gateways", "4", "--stagers", "6", "--domains", "2", "--config-bytes", "20000", "--config-every", "1s",
 		"--upstreams", "12", "--seconds", "3",
 	}, more...)
 }
 
-var _ = Describe("the experiment news", func() {
-	It("finds each change known by all processes where nothing fails", func() {
+var _ = Describe("springrail-measure news", func() {
+	It("reports that all processes apply every change when nothing fails", func() {
 		var out, problems bytes.Buffer
 		file := filepath.Join(GinkgoT().TempDir(), "news.svg")
-		Expect(Main(small("--json", "--plot", file), &out, &problems)).To(BeZero(), problems.String())
+		Expect(Main(smallRun("--json", "--plot", file), &out, &problems)).To(BeZero(), problems.String())
 		var got newsRuns
 		Expect(json.Unmarshal(out.Bytes(), &got)).To(Succeed())
 		Expect(got.Runs).To(HaveLen(1))
@@ -47,7 +47,7 @@
 		Expect(r.All.P50).To(BeNumerically(">", 0))
 		Expect(r.All.P100).To(BeNumerically(">=", r.All.P50))
 		Expect(r.Kinds).To(HaveLen(4))
-		Expect(r.Roles).To(HaveLen(int(newsRoles)))
+		Expect(r.Roles).To(HaveLen(int(newsRoleCount)))
 		binned := 0
 		for _, b := range r.Histogram {
 			binned += b.Changes
@@ -56,7 +56,7 @@
 		for _, l := range r.Roles {
 			Expect(l.Processes).To(Equal(map[string]int{"first gateway": 2, "other gateway": 2, "stager": 6}[l.Role]))
 		}
-		Expect(r.Roles[newsFirst].StoreCallsPerSecond).To(BeNumerically(">", 0))
+		Expect(r.Roles[newsFirstGateway].StoreCallsPerSecond).To(BeNumerically(">", 0))
 		Expect(r.Roles[newsStager].QuestionsPerSecond).To(BeNumerically(">", 0))
 		i, err := os.Stat(file)
 		Expect(err).NotTo(HaveOccurred())
@@ -65,32 +65,32 @@
 
 	It("prints a table", func() {
 		var out, problems bytes.Buffer
-		Expect(Main(small(), &out, &problems)).To(BeZero(), problems.String())
+		Expect(Main(smallRun(), &out, &problems)).To(BeZero(), problems.String())
 		Expect(out.String()).To(And(ContainSubstring("never known"), ContainSubstring("first gateway"), ContainSubstring("configuration")))
 	})
 
-	It("refuses sizes that make no sense", func() {
+	It("rejects invalid sizes", func() {
 		for _, more := range [][]string{
-			{"--gateways", "1"}, {"--regions", "3"}, {"--changes", "0"}, {"--fault", newsFaultStopped}, {"--fault", "unheard-of"},
+			{"--gateways", "1"}, {"--regions", "3"}, {"--changes", "0"}, {"--fault", newsFaultReaderStopped}, {"--fault", "unheard-of"},
 		} {
 			var out, problems bytes.Buffer
-			Expect(Main(small(more...), &out, &problems)).NotTo(BeZero())
+			Expect(Main(smallRun(more...), &out, &problems)).NotTo(BeZero())
 			Expect(problems.String()).NotTo(BeEmpty())
 		}
 	})
 })
 
-var _ = Describe("the plan of changes", func() {
+var _ = Describe("the schedule of changes", func() {
 	plan := func(seed uint64, faults ...string) *newsPlan {
 		p := &newsPlan{
 			gateways: 2, domains: 1, regions: 1, changesPerSecond: 6, configBytes: 1000, upstreams: 20, configEvery: 5 * time.Second,
-			seed: seed, lasts: 24 * time.Second, faults: faults,
+			seed: seed, duration: 24 * time.Second, faults: faults,
 		}
 		p.schedule()
 		return p
 	}
 
-	It("is the same for a seed, and takes each key from its beginning to its end", func() {
+	It("is deterministic for a seed, and takes each key through its stages in order", func() {
 		Expect(plan(3).changes).To(Equal(plan(3).changes))
 		Expect(plan(3).changes).NotTo(Equal(plan(4).changes))
 		for _, f := range newsFaultNames {
@@ -102,38 +102,38 @@
 				}
 				Expect(c.stage).To(BeNumerically(">", last[c.key]))
 				last[c.key] = c.stage
-				if p.keys[c.key][0] >= 0 && p.changes[p.keys[c.key][0]].stage != newsHere {
-					Expect(slices.Contains(p.first, c.key)).To(BeTrue())
+				if p.keys[c.key][0] >= 0 && p.changes[p.keys[c.key][0]].stage != newsPresent {
+					Expect(slices.Contains(p.initialUpstreams, c.key)).To(BeTrue())
 				}
 			}
 		}
 	})
 
-	It("has drops around the return of a reader, and nothing while the store is down", func() {
-		Expect(len(plan(1, newsFaultCut).changes)).To(BeNumerically(">=", len(plan(1).changes)+25))
-		p := plan(1, newsFaultDown)
+	It("has extra drops around a reader's return to the store, and no changes during an outage of the store", func() {
+		Expect(len(plan(1, newsFaultReaderCut).changes)).To(BeNumerically(">=", len(plan(1).changes)+25))
+		p := plan(1, newsFaultStoreDown)
 		for _, c := range p.changes {
-			Expect(c.at < p.faultAt() || c.at >= p.faultEnd()).To(BeTrue())
+			Expect(c.at < p.faultStart() || c.at >= p.faultEnd()).To(BeTrue())
 		}
-		Expect(len(plan(1, newsFaultStorm).changes)).To(BeNumerically(">=", len(plan(1).changes)+20))
+		Expect(len(plan(1, newsFaultConfigStorm).changes)).To(BeNumerically(">=", len(plan(1).changes)+20))
 	})
 })
 
-var _ = Describe("what a process knows", func() {
+var _ = Describe("the observer of a process", func() {
 	var p *newsPlan
 	var now time.Duration
-	var c *newsColumn
+	var c *newsObserver
 	BeforeEach(func() {
 		p = &newsPlan{changes: []newsChange{
-			{key: "u", stage: newsHere, acked: 1 * time.Second}, {key: "u", stage: newsLeaving, acked: 2 * time.Second},
-			{key: "u", stage: newsDropped, acked: 4 * time.Second},
+			{key: "u", stage: newsPresent, ackedAt: 1 * time.Second}, {key: "u", stage: newsLeaving, ackedAt: 2 * time.Second},
+			{key: "u", stage: newsDropped, ackedAt: 4 * time.Second},
 		}}
 		p.index()
 		now = 0
-		c = newNewsColumn(p, func() time.Duration { return now })
+		c = newNewsObserver(p, func() time.Duration { return now })
 	})
 
-	wait := func(i int) (time.Duration, newsWay, bool) { return c.wait(i) }
+	wait := func(i int) (time.Duration, newsLearntVia, bool) { return c.propagationDelay(i) }
 	record := func(key string, s newsStage) records.Record {
 		if s == newsDropped {
 			return records.Record{Key: key}
@@ -141,9 +141,9 @@
 		return records.Record{Key: key, Value: []byte(s.String())}
 	}
 
-	It("counts a drop that a holder of the key never hears of as never known", func() {
+	It("counts a drop as never known if a process that holds the key does not receive it", func() {
 		now = 1500 * time.Millisecond
-		c.learn(record("u", newsHere))
+		c.noteApplied(record("u", newsPresent))
 		d, _, never := wait(0)
 		Expect(never).To(BeFalse())
 		Expect(d).To(Equal(500 * time.Millisecond))
@@ -153,33 +153,33 @@
 		}
 	})
 
-	It("tells a word that is lost from one that is late: later ones are known", func() {
-		p.changes = append(p.changes, newsChange{key: "v", stage: newsHere, acked: 5 * time.Second})
+	It("distinguishes a lost change from a late one by whether later changes are known", func() {
+		p.changes = append(p.changes, newsChange{key: "v", stage: newsPresent, ackedAt: 5 * time.Second})
 		p.index()
-		c = newNewsColumn(p, func() time.Duration { return now })
-		c.learn(record("u", newsHere))
-		Expect(c.passed(2)).To(BeFalse())
-		c.learn(record("v", newsHere))
-		Expect(c.passed(2)).To(BeTrue())
+		c = newNewsObserver(p, func() time.Duration { return now })
+		c.noteApplied(record("u", newsPresent))
+		Expect(c.knowsLaterChange(2)).To(BeFalse())
+		c.noteApplied(record("v", newsPresent))
+		Expect(c.knowsLaterChange(2)).To(BeTrue())
 	})
 
-	It("takes what it missed of a key that it never had as overtaken by the drop", func() {
+	It("counts missed changes of a key that the process never held as overtaken by its drop", func() {
 		d, way, never := wait(0)
 		Expect(never).To(BeFalse())
-		Expect(way).To(Equal(newsOvertaken))
+		Expect(way).To(Equal(newsViaOvertaken))
 		Expect(d).To(Equal(3 * time.Second))
-		p.changes[2].acked = 0
+		p.changes[2].ackedAt = 0
 		_, _, never = wait(0)
 		Expect(never).To(BeTrue())
 	})
 
-	It("does not count the time in which it was out of touch", func() {
+	It("does not count the time in which the process could not receive changes", func() {
 		now = time.Second
-		c.leave()
+		c.disconnect()
 		now = 3 * time.Second
-		c.join()
+		c.reconnect()
 		now = 5 * time.Second
-		c.learn(record("u", newsDropped))
+		c.noteApplied(record("u", newsDropped))
 		d, _, _ := wait(0)
 		Expect(d).To(Equal(2 * time.Second))
 		d, _, _ = wait(2)
@@ -187,8 +187,8 @@
 	})
 })
 
-var _ = Describe("the store of the experiment", func() {
-	It("gives records by offset and by key, and history only until it is forgotten", func(ctx context.Context) {
+var _ = Describe("the simulated store", func() {
+	It("returns records by offset and as a snapshot, and history only until it expires", func(ctx context.Context) {
 		s := newNewsStore("t")
 		s.put("t", "a", []byte("1"))
 		s.put("t", "b", []byte("1"))
@@ -196,10 +196,10 @@
 		l, err := s.read(ctx, "t", 1, 0)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(l.records).To(HaveLen(2))
-		whole, next := s.whole("t")
+		whole, next := s.snapshot("t")
 		Expect(whole).To(HaveLen(1))
 		Expect(next).To(BeNumerically("==", 3))
-		s.forget()
+		s.expireHistory()
 		_, err = s.read(ctx, "t", 1, 0)
 		Expect(err).To(MatchError(platform.ErrOffsetExpired))
 		l, err = s.read(ctx, "t", 3, 10*time.Millisecond)
@@ -207,17 +207,17 @@
 		Expect(l.records).To(BeEmpty())
 	})
 
-	It("comes back from a copy in a new era, in which offsets are given out again", func(ctx context.Context) {
+	It("is restored from a backup in a new store epoch, in which offsets are assigned again", func(ctx context.Context) {
 		s := newNewsStore("t")
 		s.put("t", "a", []byte("1"))
-		held := s.copyOf()
+		held := s.backup()
 		s.put("t", "a", []byte("2"))
 		s.put("t", "b", []byte("2"))
-		s.comeBack(held)
+		s.restore(held)
 		_, err := s.read(ctx, "t", 3, 0)
 		Expect(err).To(MatchError(platform.ErrOffsetExpired))
 		s.put("t", "c", []byte("3"))
-		whole, next := s.whole("t")
+		whole, next := s.snapshot("t")
 		Expect(whole).To(HaveLen(2))
 		Expect(next.String()).To(Equal("1/2"))
 		a, err := s.read(ctx, "t", 1, 0)
--- a/internal/measure/newsdiffer.go
+++ b/internal/measure/newsdiffer.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// differences compares all processes that live with the store: what they have applied, and the upstreams that they would
-// send to.
+// differences compares the state of all running processes with the store: the records that they have applied, and the
+// upstreams that they would route to.
 func (r *newsRun) differences() []newsDifference {
 	r.mu.Lock()
 	want := maps.Clone(r.listed)
 	r.mu.Unlock()
 	version := 0
 	for i := range r.plan.changes {
-		if c := &r.plan.changes[i]; c.stage == newsConfig && c.acked > 0 {
+		if c := &r.plan.changes[i]; c.stage == newsConfig && c.ackedAt > 0 {
 			version = max(version, c.version)
 		}
 	}
@@ -28,7 +28,7 @@
 }
 
 func (p *newsProcess) differences(want map[string]newsStage, version int) []newsDifference {
-	stages, got := p.tally.state()
+	stages, got := p.observer.state()
 	var l []newsDifference
 	add := func(key, holds, store string) {
 		l = append(l, newsDifference{Process: p.name, Key: key, Holds: holds, Store: store})
@@ -38,7 +38,7 @@
 	}
 	routed := map[string]newsStage{}
 	for _, i := range p.facts.Instances() {
-		routed[string(i.ID)] = newsHere
+		routed[string(i.ID)] = newsPresent
 		if i.Leaving {
 			routed[string(i.ID)] = newsLeaving
 		}
--- a/internal/measure/newsfault.go
+++ b/internal/measure/newsfault.go
@@ -8,75 +8,76 @@
 	"github.com/springrail/springrail/internal/kernel"
 )
 
-// playFaults plays the plan's faults, all from the same time on.
-func (r *newsRun) playFaults(ctx context.Context) {
-	kernel.Pause(ctx, r.plan.faultAt()-r.since())
+// injectFaults injects the plan's faults, all starting at the same time.
+func (r *newsRun) injectFaults(ctx context.Context) {
+	kernel.Pause(ctx, r.plan.faultStart()-r.since())
 	var wg sync.WaitGroup
 	for _, name := range r.plan.faults {
-		wg.Go(func() { r.playFault(ctx, name) })
+		wg.Go(func() { r.injectFault(ctx, name) })
 	}
 	wg.Wait()
 }
 
-func (r *newsRun) playFault(ctx context.Context, name string) {
+func (r *newsRun) injectFault(ctx context.Context, name string) {
 	switch name {
-	case newsFaultStopped:
+	case newsFaultReaderStopped:
 		r.stopReaders(0)
-	case newsFaultTwo:
+	case newsFaultTwoReadersStopped:
 		r.stopReaders(0)
-		kernel.Pause(ctx, newsSecondAfter)
+		kernel.Pause(ctx, newsSecondStopAfter)
 		r.stopReaders(1)
-	case newsFaultFrozen:
+	case newsFaultReaderFrozen:
 		r.freezeReaders(ctx)
-	case newsFaultCut:
-		r.playDoors(ctx, r.net.first, func(f *newsDoorFaults) { f.silent = true })
-	case newsFaultDown:
-		r.playDown(ctx, r.plan.faultEnd())
-	case newsFaultTwice:
-		r.playDown(ctx, r.plan.faultEnd()-newsBackFor-newsAwayAgain)
-		kernel.Pause(ctx, newsBackFor)
-		r.playDown(ctx, r.plan.faultEnd())
-	case newsFaultSlow:
-		r.playDoors(ctx, r.processes, func(f *newsDoorFaults) { f.delay = newsSlow })
-	case newsFaultLoses:
-		r.playDoors(ctx, r.processes, func(f *newsDoorFaults) { f.lost = newsLost })
-	case newsFaultRefuses:
-		r.playDoors(ctx, r.half(), func(f *newsDoorFaults) { f.refuse = true })
-	case newsFaultReturns:
-		r.playReturn(ctx)
-	case newsFaultForgets:
+	case newsFaultReaderCut:
+		r.injectStoreFault(ctx, r.net.firstGateways, func(f *newsStoreFaults) { f.silent = true })
+	case newsFaultStoreDown:
+		r.causeStoreOutage(ctx, r.plan.faultEnd())
+	case newsFaultStoreDownTwice:
+		r.causeStoreOutage(ctx, r.plan.faultEnd()-newsOutageGap-newsSecondOutage)
+		kernel.Pause(ctx, newsOutageGap)
+		r.causeStoreOutage(ctx, r.plan.faultEnd())
+	case newsFaultStoreSlow:
+		r.injectStoreFault(ctx, r.processes, func(f *newsStoreFaults) { f.delay = newsSlowStoreDelay })
+	case newsFaultAnswersLost:
+		r.injectStoreFault(ctx, r.processes, func(f *newsStoreFaults) { f.lossRate = newsAnswerLossRate })
+	case newsFaultSomeRefused:
+		r.injectStoreFault(ctx, r.randomHalf(), func(f *newsStoreFaults) { f.refuse = true })
+	case newsFaultStoreRestored:
+		r.restoreStore(ctx)
+	case newsFaultHistoryExpired:
 		for ctx.Err() == nil && r.since() < r.plan.faultEnd() {
-			r.store.forget()
+			r.store.expireHistory()
 			kernel.Pause(ctx, newsForgetEvery)
 		}
 	}
 }
 
 const (
-	// newsReturnLoses is how old the copy is that the store comes back from, and newsWrittenAgain how long after that all
-	// is written again that was written since.
-	newsReturnLoses  = 3 * time.Second
-	newsWrittenAgain = 500 * time.Millisecond
+	// newsBackupAge is the age of the backup that the store is restored from, and newsRewriteAfter the time from the
+	// restore until the lost writes are repeated.
+	newsBackupAge    = 3 * time.Second
+	newsRewriteAfter = 500 * time.Millisecond
 )
 
-// playReturn has the store come back from an older copy, which nobody sees it be away for.
-func (r *newsRun) playReturn(ctx context.Context) {
-	held := r.store.copyOf()
-	kernel.Pause(ctx, newsReturnLoses)
-	r.store.comeBack(held)
-	kernel.Pause(ctx, newsWrittenAgain)
-	r.writeAgain()
+// restoreStore restores the store from an older backup, without an outage that a process could notice.
+func (r *newsRun) restoreStore(ctx context.Context) {
+	backup := r.store.backup()
+	kernel.Pause(ctx, newsBackupAge)
+	r.store.restore(backup)
+	kernel.Pause(ctx, newsRewriteAfter)
+	r.rewriteState()
 }
 
-// writeAgain writes the newest configuration and all upstreams' records, and drops those that are gone.
-func (r *newsRun) writeAgain() {
+// rewriteState writes the newest configuration and all listed upstreams again, and drops the keys that are no longer
+// listed.
+func (r *newsRun) rewriteState() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.store.put(newsOperators, newsConfigKey, r.config)
 	for key, s := range r.listed {
-		r.store.put(newsUpstreams, key, r.entry(s, 0))
+		r.store.put(newsUpstreams, key, r.upstreamValue(s, 0))
 	}
-	l, _ := r.store.whole(newsUpstreams)
+	l, _ := r.store.snapshot(newsUpstreams)
 	for _, e := range l {
 		if _, listed := r.listed[e.Key]; !listed {
 			r.store.put(newsUpstreams, e.Key, nil)
@@ -84,59 +85,60 @@
 	}
 }
 
-// playDown lets the store refuse all until a moment of the run.
-func (r *newsRun) playDown(ctx context.Context, until time.Duration) {
+// causeStoreOutage makes the store refuse all calls until a given time of the run.
+func (r *newsRun) causeStoreOutage(ctx context.Context, until time.Duration) {
 	for _, p := range r.processes {
-		p.tally.leave()
+		p.observer.disconnect()
 	}
-	r.playDoorsUntil(ctx, r.processes, until, func(f *newsDoorFaults) { f.refuse = true })
+	r.injectStoreFaultUntil(ctx, r.processes, until, func(f *newsStoreFaults) { f.refuse = true })
 	for _, p := range r.processes {
-		p.tally.join()
+		p.observer.reconnect()
 	}
 }
 
-// stopReaders ends the gateway of each domain that has a place in the order of readers.
+// stopReaders stops, in each domain, the gateway at the given place of the takeover order.
 func (r *newsRun) stopReaders(place int) {
-	for _, l := range r.order {
+	for _, l := range r.gatewayOrder {
 		l[place].stop()
-		l[place].tally.leave()
+		l[place].observer.disconnect()
 	}
 }
 
-// freezeReaders lets the first gateways stand still for a while.
+// freezeReaders suspends the first gateway of each domain for newsFreezeDuration.
 func (r *newsRun) freezeReaders(ctx context.Context) {
-	for _, p := range r.net.first {
+	for _, p := range r.net.firstGateways {
 		p.freeze()
-		p.tally.leave()
+		p.observer.disconnect()
 	}
-	kernel.Pause(ctx, newsFrozenLasts)
-	for _, p := range r.net.first {
-		p.tally.join()
-		p.wake()
+	kernel.Pause(ctx, newsFreezeDuration)
+	for _, p := range r.net.firstGateways {
+		p.observer.reconnect()
+		p.unfreeze()
 	}
 }
 
-// playDoors gives some processes' ways to the store a fault until the faults end.
-func (r *newsRun) playDoors(ctx context.Context, l []*newsProcess, change func(f *newsDoorFaults)) {
-	r.playDoorsUntil(ctx, l, r.plan.faultEnd(), change)
+// injectStoreFault injects a fault into some processes' access to the store until the faults end.
+func (r *newsRun) injectStoreFault(ctx context.Context, l []*newsProcess, change func(f *newsStoreFaults)) {
+	r.injectStoreFaultUntil(ctx, l, r.plan.faultEnd(), change)
 }
 
-func (r *newsRun) playDoorsUntil(ctx context.Context, l []*newsProcess, until time.Duration, change func(f *newsDoorFaults)) {
+func (r *newsRun) injectStoreFaultUntil(ctx context.Context, l []*newsProcess, until time.Duration, change func(f *newsStoreFaults)) {
 	for _, p := range l {
-		p.door.set(change)
+		p.storeClient.setFaults(change)
 	}
 	kernel.Pause(ctx, until-r.since())
 	for _, p := range l {
-		p.door.set(func(f *newsDoorFaults) { *f = newsDoorFaults{} })
+		p.storeClient.setFaults(func(f *newsStoreFaults) { *f = newsStoreFaults{} })
 	}
 }
 
-// half draws about half of the processes; the last gateway of each domain is never among them, so that all stay in touch.
-func (r *newsRun) half() []*newsProcess {
-	random := r.plan.source(newsRandomRefused)
+// randomHalf returns about half of the processes, never the last gateway of a domain, so that every domain can still
+// reach the store.
+func (r *newsRun) randomHalf() []*newsProcess {
+	random := r.plan.newRandom(newsRandomRefused)
 	var l []*newsProcess
 	for _, p := range r.processes {
-		gateways := r.order[p.domain]
+		gateways := r.gatewayOrder[p.domain]
 		if random.IntN(2) == 0 && p != gateways[len(gateways)-1] {
 			l = append(l, p)
 		}
--- a/internal/measure/newslink.go
+++ b/internal/measure/newslink.go
@@ -11,48 +11,48 @@
 )
 
 const (
-	// newsPiece is the size in bytes in which messages share a link.
-	newsPiece = 16 << 10
-	// newsGrain is the shortest wait for a link that is slept: below it timers are late by as much.
-	newsGrain = time.Millisecond
-	// newsLocalDelay is the way between two processes of a region.
+	// newsSegmentBytes is the size of the segments in which messages share a link.
+	newsSegmentBytes = 16 << 10
+	// newsMinSleep is the shortest wait for a link that is slept: timers are late by about as much.
+	newsMinSleep = time.Millisecond
+	// newsLocalDelay is the one-way latency between two processes of a region.
 	newsLocalDelay = 250 * time.Microsecond
 )
 
-// newsPipe is one direction of a link that messages share.
-type newsPipe struct {
+// newsLink is one direction of a network link that messages share.
+type newsLink struct {
 	// rate is in bytes a second.
-	rate float64
-	mu   sync.Mutex
-	free time.Time
+	rate   float64
+	mu     sync.Mutex
+	freeAt time.Time
 }
 
-func newNewsPipe(mbps float64) *newsPipe {
+func newNewsLink(mbps float64) *newsLink {
 	const bitsPerMegabyte = 8e-6
-	return &newsPipe{rate: mbps / bitsPerMegabyte}
+	return &newsLink{rate: mbps / bitsPerMegabyte}
 }
 
-// take reserves the time of a number of bytes and returns when they are through.
-func (p *newsPipe) take(bytes int) time.Time {
+// reserve queues a number of bytes on the link and returns when they will have been sent.
+func (p *newsLink) reserve(bytes int) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if now := time.Now(); p.free.Before(now) {
-		p.free = now
+	if now := time.Now(); p.freeAt.Before(now) {
+		p.freeAt = now
 	}
-	p.free = p.free.Add(time.Duration(float64(bytes) / p.rate * float64(time.Second)))
-	return p.free
+	p.freeAt = p.freeAt.Add(time.Duration(float64(bytes) / p.rate * float64(time.Second)))
+	return p.freeAt
 }
 
-// newsSend brings a message through some links, a piece after the other, and waits for the way's delay.
-func newsSend(ctx context.Context, bytes int, delay time.Duration, way ...*newsPipe) error {
-	for left := bytes; left > 0; left -= newsPiece {
+// newsSend transmits a message over some links, one segment after another, then waits for the propagation delay.
+func newsSend(ctx context.Context, bytes int, delay time.Duration, links ...*newsLink) error {
+	for remaining := bytes; remaining > 0; remaining -= newsSegmentBytes {
 		until := time.Time{}
-		for _, p := range way {
-			if t := p.take(min(left, newsPiece)); t.After(until) {
+		for _, p := range links {
+			if t := p.reserve(min(remaining, newsSegmentBytes)); t.After(until) {
 				until = t
 			}
 		}
-		if wait := time.Until(until); wait >= newsGrain {
+		if wait := time.Until(until); wait >= newsMinSleep {
 			kernel.Pause(ctx, wait)
 		}
 		if ctx.Err() != nil {
--- a/internal/measure/newsplan.go
+++ b/internal/measure/newsplan.go
@@ -12,57 +12,60 @@
 )
 
 const (
-	// newsConfigKey is the key of the configuration.
+	// newsConfigKey is the record key of the configuration.
 	newsConfigKey = "configuration"
-	// newsFaultLasts is how long a fault lasts, and newsFrozenLasts how long a process stands still.
-	newsFaultLasts  = 8 * time.Second
-	newsFrozenLasts = 5 * time.Second
-	// newsBackFor is how long a store that goes down twice is there in between, and newsAwayAgain how long it is away then.
-	newsBackFor   = 300 * time.Millisecond
-	newsAwayAgain = time.Second
-	// newsSecondAfter is when the next reader is stopped: a second after the first one, once it has taken over.
-	newsSecondAfter = 1200 * time.Millisecond
-	// newsStormEvery is how often the configuration changes in a storm.
+	// newsFaultDuration is the duration of a fault, and newsFreezeDuration how long a process is suspended.
+	newsFaultDuration  = 8 * time.Second
+	newsFreezeDuration = 5 * time.Second
+	// newsOutageGap is the time between the two outages of a store that goes down twice, and newsSecondOutage the
+	// length of the second.
+	newsOutageGap    = 300 * time.Millisecond
+	newsSecondOutage = time.Second
+	// newsSecondStopAfter is the time from stopping the first reader until its successor is stopped: a second and
+	// more, so that the successor has taken over.
+	newsSecondStopAfter = 1200 * time.Millisecond
+	// newsStormEvery is the time between configuration changes in a storm of them.
 	newsStormEvery = 300 * time.Millisecond
-	// newsLeavingLasts is how long an upstream is listed as leaving.
-	newsLeavingLasts = time.Second
-	// newsForgetEvery is how often a store that forgets does so.
+	// newsLeavingDuration is how long an upstream is listed as leaving before it is dropped.
+	newsLeavingDuration = time.Second
+	// newsForgetEvery is the interval at which a store expires its history under that fault.
 	newsForgetEvery = time.Second
-	// newsReturnEvery is how often keys are dropped around the return of a reader to the store, from newsReturnBefore
-	// until newsReturnAfter: a reader that waits for an answer notices the return as late as that.
-	newsReturnEvery  = 100 * time.Millisecond
-	newsReturnBefore = 500 * time.Millisecond
-	newsReturnAfter  = 2500 * time.Millisecond
-	// newsSettles is how long after the last change a process may still learn of it.
-	newsSettles = 8 * time.Second
-	// newsUpstreamPad is the size in bytes of what an upstream's record says beside its state.
-	newsUpstreamPad = 250
+	// newsReaderReturnDropEvery is the interval of extra drops of keys around a reader's return to the store, from
+	// newsReaderReturnBefore until newsReaderReturnAfter: a reader that waits for an answer notices its return as
+	// late as that.
+	newsReaderReturnDropEvery = 100 * time.Millisecond
+	newsReaderReturnBefore    = 500 * time.Millisecond
+	newsReaderReturnAfter     = 2500 * time.Millisecond
+	// newsSettleTimeout is how long after the last change processes may still receive it.
+	newsSettleTimeout = 8 * time.Second
+	// newsUpstreamPadding is the size in bytes of an upstream's record besides its state.
+	newsUpstreamPadding = 250
 )
 
-// The names of the faults.
+// The faults of the news experiment, as values of the flag.
 const (
-	newsFaultNone    = "none"
-	newsFaultStopped = "reader-stopped"
-	newsFaultFrozen  = "reader-frozen"
-	newsFaultTwo     = "two-readers-in-a-row"
-	newsFaultCut     = "reader-cut-from-store"
-	newsFaultDown    = "store-down"
-	newsFaultTwice   = "store-down-twice"
-	newsFaultSlow    = "store-slow"
-	newsFaultLoses   = "store-loses-answers"
-	newsFaultRefuses = "store-refuses-some"
-	newsFaultForgets = "store-forgets-history"
-	newsFaultStorm   = "config-storm"
-	newsFaultReturns = "store-returns-older"
+	newsFaultNone              = "none"
+	newsFaultReaderStopped     = "reader-stopped"
+	newsFaultReaderFrozen      = "reader-frozen"
+	newsFaultTwoReadersStopped = "two-readers-in-a-row"
+	newsFaultReaderCut         = "reader-cut-from-store"
+	newsFaultStoreDown         = "store-down"
+	newsFaultStoreDownTwice    = "store-down-twice"
+	newsFaultStoreSlow         = "store-slow"
+	newsFaultAnswersLost       = "store-loses-answers"
+	newsFaultSomeRefused       = "store-refuses-some"
+	newsFaultHistoryExpired    = "store-forgets-history"
+	newsFaultConfigStorm       = "config-storm"
+	newsFaultStoreRestored     = "store-returns-older"
 )
 
 var newsFaultNames = []string{
-	newsFaultNone, newsFaultStopped, newsFaultFrozen, newsFaultTwo, newsFaultCut, newsFaultDown, newsFaultTwice,
-	newsFaultSlow,
-	newsFaultLoses, newsFaultRefuses, newsFaultForgets, newsFaultStorm, newsFaultReturns,
+	newsFaultNone, newsFaultReaderStopped, newsFaultReaderFrozen, newsFaultTwoReadersStopped, newsFaultReaderCut, newsFaultStoreDown, newsFaultStoreDownTwice,
+	newsFaultStoreSlow,
+	newsFaultAnswersLost, newsFaultSomeRefused, newsFaultHistoryExpired, newsFaultConfigStorm, newsFaultStoreRestored,
 }
 
-// newsPlan is one run.
+// newsPlan is the configuration of one run and the schedule of its changes.
 type newsPlan struct {
 	gateways, stagers, domains, regions int
 	changesPerSecond                    float64
@@ -71,102 +74,102 @@
 	regionMbps, processMbps             float64
 	regionDelay                         time.Duration
 	seed                                uint64
-	lasts                               time.Duration
+	duration                            time.Duration
 	faults                              []string
 
-	// changes are all changes in the order of their times; keys and versions find them.
+	// changes holds all changes by time; keys and versions index them by key and by configuration version.
 	changes  []newsChange
 	keys     map[string][]int
 	versions []int
-	// first lists the upstreams of the start.
-	first []string
+	// initialUpstreams lists the upstreams that exist at the start.
+	initialUpstreams []string
 }
 
-// check says what is wrong with the sizes.
-func (p *newsPlan) check() error {
+// validate checks the plan's sizes and times.
+func (p *newsPlan) validate() error {
 	switch {
 	case p.gateways < p.domains || p.domains < 1 || p.regions < 1 || p.regions > p.domains || p.stagers < 0:
-		return trace.BadParameter("each domain needs a gateway, and each region a domain")
+		return trace.BadParameter("--gateways must be at least --domains, --domains at least --regions, --regions at least 1, and --stagers not negative")
 	case p.changesPerSecond <= 0 || p.upstreams < 1 || p.configBytes < 1 || p.regionMbps <= 0 || p.processMbps <= 0:
-		return trace.BadParameter("--changes, --upstreams, --config-bytes and the links' speeds are above 0")
-	case p.configEvery < 0 || p.heartbeat < 0 || p.regionDelay < 0 || p.lasts <= 0:
-		return trace.BadParameter("a time is too short")
-	case p.faulty() && p.lasts < newsFaultLasts*2:
-		return trace.BadParameter("a run with a fault lasts at least %v", newsFaultLasts*2)
-	case p.has(newsFaultTwo) && p.gateways < 2*p.domains:
-		return trace.BadParameter("%s needs two gateways in each domain", newsFaultTwo)
+		return trace.BadParameter("--changes, --upstreams, --config-bytes and the links' speeds must be above 0")
+	case p.configEvery < 0 || p.heartbeat < 0 || p.regionDelay < 0 || p.duration <= 0:
+		return trace.BadParameter("--config-every, --heartbeat and --region-delay must not be negative, and --seconds must be above 0")
+	case p.hasAnyFault() && p.duration < newsFaultDuration*2:
+		return trace.BadParameter("a run with a fault must last at least %v", newsFaultDuration*2)
+	case p.hasFault(newsFaultTwoReadersStopped) && p.gateways < 2*p.domains:
+		return trace.BadParameter("fault %s needs at least two gateways in each domain", newsFaultTwoReadersStopped)
 	}
 	return nil
 }
 
-func (p *newsPlan) has(fault string) bool {
+func (p *newsPlan) hasFault(fault string) bool {
 	return slices.Contains(p.faults, fault)
 }
 
-// faulty says whether there is a fault at all.
-func (p *newsPlan) faulty() bool {
+// hasAnyFault reports whether the plan has any fault.
+func (p *newsPlan) hasAnyFault() bool {
 	return slices.ContainsFunc(p.faults, func(f string) bool { return f != newsFaultNone })
 }
 
-// faultAt is when the faults begin: a quarter into the run.
-func (p *newsPlan) faultAt() time.Duration {
-	return p.lasts / 4
+// faultStart returns when the faults begin: a quarter into the run.
+func (p *newsPlan) faultStart() time.Duration {
+	return p.duration / 4
 }
 
 func (p *newsPlan) faultEnd() time.Duration {
-	return p.faultAt() + newsFaultLasts
+	return p.faultStart() + newsFaultDuration
 }
 
-// source makes a sequence of random numbers of its own for a purpose.
-func (p *newsPlan) source(purpose uint64) *rand.Rand {
+// newRandom returns a random source for one purpose, derived from the plan's seed.
+func (p *newsPlan) newRandom(purpose uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(p.seed, purpose))
 }
 
-// The purposes of random numbers; those of the processes follow.
+// The purposes of random sources; those of the processes' store clients are numbered from the last one on.
 const (
 	newsRandomChanges = iota
 	newsRandomConfig
 	newsRandomRefused
-	newsRandomDoors
+	newsRandomStoreClients
 )
 
-// schedule lays out all changes.
+// schedule draws all changes of the run.
 func (p *newsPlan) schedule() {
-	s := &newsScheduler{plan: p, random: p.source(newsRandomChanges), due: map[string]time.Duration{}}
+	s := &newsScheduler{plan: p, random: p.newRandom(newsRandomChanges), due: map[string]time.Duration{}}
 	for range p.upstreams {
-		s.here = append(s.here, s.name())
+		s.listed = append(s.listed, s.newKey())
 	}
-	p.first = slices.Clone(s.here)
+	p.initialUpstreams = slices.Clone(s.listed)
 	every := time.Duration(float64(time.Second) / p.changesPerSecond)
-	for at := every; at < p.lasts; at += every {
+	for at := every; at < p.duration; at += every {
 		s.step(at + time.Duration(s.random.Int64N(int64(every/2)+1)))
 	}
-	if p.has(newsFaultCut) {
-		for at := p.faultEnd() - newsReturnBefore; at < p.faultEnd()+newsReturnAfter; at += newsReturnEvery {
-			s.extra = append(s.extra, at)
+	if p.hasFault(newsFaultReaderCut) {
+		for at := p.faultEnd() - newsReaderReturnBefore; at < p.faultEnd()+newsReaderReturnAfter; at += newsReaderReturnDropEvery {
+			s.extraDrops = append(s.extraDrops, at)
 		}
 	}
 	s.addConfigurations()
-	for _, at := range s.extra {
+	for _, at := range s.extraDrops {
 		s.dropSpare(at)
 	}
-	if p.has(newsFaultDown) || p.has(newsFaultTwice) {
-		p.holdBack()
+	if p.hasFault(newsFaultStoreDown) || p.hasFault(newsFaultStoreDownTwice) {
+		p.delayToOutageEnd()
 	}
 	slices.SortStableFunc(p.changes, func(a, b newsChange) int { return int(a.at - b.at) })
 	p.index()
 }
 
-// holdBack moves what would be written while the store is down to its return: nothing can be written either.
-func (p *newsPlan) holdBack() {
+// delayToOutageEnd moves the changes within an outage of the store to its end, as nothing can be written before.
+func (p *newsPlan) delayToOutageEnd() {
 	for i := range p.changes {
-		if c := &p.changes[i]; c.at >= p.faultAt() && c.at < p.faultEnd() {
+		if c := &p.changes[i]; c.at >= p.faultStart() && c.at < p.faultEnd() {
 			c.at = p.faultEnd()
 		}
 	}
 }
 
-// index finds the changes of each key and version.
+// index builds the indexes of changes by key and by configuration version.
 func (p *newsPlan) index() {
 	p.keys, p.versions = map[string][]int{}, []int{-1}
 	for i, c := range p.changes {
@@ -178,62 +181,64 @@
 	}
 }
 
-// newsScheduler draws the changes of the list.
+// newsScheduler draws the changes of the list of upstreams.
 type newsScheduler struct {
 	plan   *newsPlan
 	random *rand.Rand
-	here   []string
-	// leaving lists the keys on their way out, the oldest first, and due when they are dropped.
+	listed []string
+	// leaving holds the keys that are listed as leaving, the oldest first, and due the times at which they are
+	// dropped.
 	leaving []string
 	due     map[string]time.Duration
-	// extra are the times of more drops, and spare counts their keys.
-	extra []time.Duration
-	spare int
-	named int
+	// extraDrops holds the times of additional drops, and spareCount counts the keys made for them.
+	extraDrops []time.Duration
+	spareCount int
+	keyCount   int
 }
 
-func (s *newsScheduler) name() string {
-	s.named++
-	return fmt.Sprintf("u-%d-%06x", s.named, s.random.Uint32N(1<<24))
+func (s *newsScheduler) newKey() string {
+	s.keyCount++
+	return fmt.Sprintf("u-%d-%06x", s.keyCount, s.random.Uint32N(1<<24))
 }
 
 func (s *newsScheduler) add(at time.Duration, key string, stage newsStage) {
 	s.plan.changes = append(s.plan.changes, newsChange{at: at, key: key, stage: stage})
 }
 
-// step makes one change: upstreams are replaced, and half of them say that they leave before they are dropped.
+// step schedules one change: upstreams are replaced, and half of them are listed as leaving before they are dropped.
 func (s *newsScheduler) step(at time.Duration) {
 	if len(s.leaving) > 0 && s.due[s.leaving[0]] <= at {
 		s.add(at, s.leaving[0], newsDropped)
 		s.leaving = s.leaving[1:]
 		return
 	}
-	if len(s.here)+len(s.leaving) < s.plan.upstreams || len(s.here) == 0 {
-		key := s.name()
-		s.here = append(s.here, key)
-		s.add(at, key, newsHere)
+	if len(s.listed)+len(s.leaving) < s.plan.upstreams || len(s.listed) == 0 {
+		key := s.newKey()
+		s.listed = append(s.listed, key)
+		s.add(at, key, newsPresent)
 		return
 	}
-	i := s.random.IntN(len(s.here))
-	key := s.here[i]
-	s.here = slices.Delete(s.here, i, i+1)
+	i := s.random.IntN(len(s.listed))
+	key := s.listed[i]
+	s.listed = slices.Delete(s.listed, i, i+1)
 	if s.random.IntN(2) == 0 {
 		s.add(at, key, newsDropped)
 		return
 	}
 	s.add(at, key, newsLeaving)
-	s.leaving, s.due[key] = append(s.leaving, key), at+newsLeavingLasts
+	s.leaving, s.due[key] = append(s.leaving, key), at+newsLeavingDuration
 }
 
-// dropSpare drops an upstream that is listed for this from the start on, and says nothing before.
+// dropSpare schedules the drop of an upstream that is listed from the start for this only and never announces that it
+// leaves.
 func (s *newsScheduler) dropSpare(at time.Duration) {
-	s.spare++
-	key := fmt.Sprintf("spare-%d", s.spare)
-	s.plan.first = append(s.plan.first, key)
+	s.spareCount++
+	key := fmt.Sprintf("spare-%d", s.spareCount)
+	s.plan.initialUpstreams = append(s.plan.initialUpstreams, key)
 	s.add(at, key, newsDropped)
 }
 
-// addConfigurations adds the versions of the configuration.
+// addConfigurations schedules the versions of the configuration.
 func (s *newsScheduler) addConfigurations() {
 	p := s.plan
 	version := 0
@@ -241,37 +246,37 @@
 		version++
 		p.changes = append(p.changes, newsChange{at: at, key: newsConfigKey, stage: newsConfig, version: version})
 	}
-	storm := p.has(newsFaultStorm)
-	// The times are drawn, as a reader's calls are periodic too and would meet all changes alike.
-	for from := time.Duration(0); p.configEvery > 0 && from < p.lasts; from += p.configEvery {
+	storm := p.hasFault(newsFaultConfigStorm)
+	// Times are random: a reader's calls are periodic, and periodic changes would all meet them at the same phase.
+	for from := time.Duration(0); p.configEvery > 0 && from < p.duration; from += p.configEvery {
 		at := from + time.Duration(s.random.Int64N(int64(p.configEvery)))
-		if at < p.lasts && (!storm || at < p.faultAt()) {
+		if at < p.duration && (!storm || at < p.faultStart()) {
 			add(at)
 		}
 	}
 	if storm {
-		for at := p.faultAt(); at < p.faultEnd(); at += newsStormEvery {
+		for at := p.faultStart(); at < p.faultEnd(); at += newsStormEvery {
 			add(at)
 		}
 	}
 }
 
-// newsText is a configuration of routes, of which each version changes some lines.
-type newsText struct {
+// newsConfigText generates a configuration of routes; each version changes some of its lines.
+type newsConfigText struct {
 	random *rand.Rand
 	lines  []string
 }
 
-func newNewsText(bytes int, r *rand.Rand) *newsText {
-	t := &newsText{random: r}
+func newNewsConfigText(bytes int, r *rand.Rand) *newsConfigText {
+	t := &newsConfigText{random: r}
 	for n := 0; n < bytes; n += len(t.lines[len(t.lines)-1]) {
 		t.lines = append(t.lines, t.line(len(t.lines)))
 	}
 	return t
 }
 
-// line is a route; a good part of it is the same in all.
-func (t *newsText) line(i int) string {
+// line returns the line of a route; much of its text is the same in all lines.
+func (t *newsConfigText) line(i int) string {
 	token := make([]byte, 48)
 	for j := range token {
 		token[j] = byte(t.random.Uint32())
@@ -281,8 +286,8 @@
 		i, t.random.IntN(2000), t.random.IntN(100), 1000*t.random.IntN(60), t.random.IntN(3000), t.random.IntN(5), hex.EncodeToString(token))
 }
 
-// version writes the configuration with a number and some new lines.
-func (t *newsText) version(n int) []byte {
+// version returns the configuration with a version number and some changed lines.
+func (t *newsConfigText) version(n int) []byte {
 	const changed = 3
 	for range changed {
 		i := t.random.IntN(len(t.lines))
--- a/internal/measure/newsplot.go
+++ b/internal/measure/newsplot.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// newsPlotWidth and newsPlotHeight fit a page of A4 on its side.
+	// newsPlotWidth and newsPlotHeight fit an A4 page in landscape.
 	newsPlotWidth  = 26 * vg.Centimeter
 	newsPlotHeight = 14 * vg.Centimeter
-	// newsPlotNever is the name of what was never known.
+	// newsPlotNever is the legend entry of changes that some process never applied.
 	newsPlotNever = "never known by some process"
 )
 
-// plot draws each change's time until the last process knew it, over the time at which the store took it. The ending of
-// the file's name says its form.
+// plot draws each change's propagation delay to the last process over the time at which the store took it. The file
+// extension selects the format.
 func (w *newsRow) plot(file string, p *newsPlan) error {
 	g := plot.New()
 	g.Title.Text = fmt.Sprintf("News: %d gateways, %d stagers, %d domains, fault %s, seed %d", w.Gateways, w.Stagers, w.Domains, w.Fault, w.Seed)
@@ -30,13 +30,13 @@
 	g.Y.Label.Text = "seconds until the last process in touch knew it"
 	g.Legend.Top = true
 	g.Y.Min = 0
-	top := max(newsBound.Seconds(), w.All.P100)
-	if p.faulty() {
+	top := max(newsLateAfter.Seconds(), w.All.P100)
+	if p.hasAnyFault() {
 		if err := newsShade(g, p, top); err != nil {
 			return err
 		}
 	}
-	for i, name := range []string{newsHere.String(), newsLeaving.String(), newsDropped.String(), newsConfig.String(), newsPlotNever} {
+	for i, name := range []string{newsPresent.String(), newsLeaving.String(), newsDropped.String(), newsConfig.String(), newsPlotNever} {
 		var l plotter.XYs
 		for _, c := range w.Points {
 			switch {
@@ -63,9 +63,9 @@
 	return trace.Wrap(g.Save(newsPlotWidth, newsPlotHeight, file))
 }
 
-// newsShade marks the time of the faults.
+// newsShade shades the time of the faults.
 func newsShade(g *plot.Plot, p *newsPlan, top float64) error {
-	from, to := p.faultAt().Seconds(), p.faultEnd().Seconds()
+	from, to := p.faultStart().Seconds(), p.faultEnd().Seconds()
 	s, err := plotter.NewPolygon(plotter.XYs{{X: from}, {X: to}, {X: to, Y: top}, {X: from, Y: top}})
 	if err != nil {
 		return trace.Wrap(err)
--- a/internal/measure/newsprocess.go
+++ b/internal/measure/newsprocess.go
@@ -20,66 +20,68 @@
 	"github.com/springrail/springrail/internal/records"
 )
 
-// The topics of the store.
+// The topics of the simulated store.
 const (
 	newsOperators = "operators"
 	newsUpstreams = "upstreams"
 )
 
-// The processes' settings, as deployed; gateways wait at their start too, as the start is not measured.
+// The processes' settings, as deployed; gateways have the start wait too, as the start is not measured.
 const (
 	newsListEvery = 700 * time.Millisecond
 	newsStartWait = 600 * time.Millisecond
-	// newsNamedEvery is how often processes hear of the gateways of their domain.
-	newsNamedEvery = time.Second
+	// newsGatewayNoticeEvery is the interval at which processes are notified of the gateways of their domain.
+	newsGatewayNoticeEvery = time.Second
 )
 
-// errNewsGone says that a process has ended.
-var errNewsGone = errors.New("nobody listens there")
+// errNewsProcessEnded means that the called process has ended.
+var errNewsProcessEnded = errors.New("the process has ended")
 
-// newsQuiet keeps the parts' own lines out of the table.
-var newsQuiet = &log.Logger{Level: log.PanicLevel}
+// newsDiscardLogger keeps the processes' log lines out of the printed tables.
+var newsDiscardLogger = &log.Logger{Level: log.PanicLevel}
 
-// newsRole is what a process is at the start.
+// newsRole is a process's role at the start of a run.
 type newsRole int
 
 const (
-	newsFirst newsRole = iota
-	newsGateway
+	newsFirstGateway newsRole = iota
+	newsOtherGateway
 	newsStager
-	newsRoles
+	newsRoleCount
 )
 
 func (r newsRole) String() string {
 	return [...]string{"first gateway", "other gateway", "stager"}[r]
 }
 
-// newsProcess is a real records part, with what it has made of the records.
+// newsProcess is a simulated process with a real records component; its observer records what it applies.
 type newsProcess struct {
-	name    string
-	role    newsRole
-	domain  int
-	region  int
-	facts   *facts.Facts
-	records *records.Records
-	service *records.Service
-	door    *newsDoor
-	up      *newsPipe
-	down    *newsPipe
-	tally   *newsColumn
-	// ctx ends with the process.
+	name        string
+	role        newsRole
+	domain      int
+	region      int
+	facts       *facts.Facts
+	records     *records.Records
+	service     *records.Service
+	storeClient *newsStoreClient
+	uplink      *newsLink
+	downlink    *newsLink
+	observer    *newsObserver
+	// ctx is cancelled when the process ends.
 	ctx  context.Context
 	stop context.CancelFunc
-	// asked counts questions, gave and got bytes handed on to others and got from them.
-	asked, gave, got atomic.Int64
+	// questions counts the requests to other processes; sentBytes and receivedBytes count the answers to and from
+	// them.
+	questions, sentBytes, receivedBytes atomic.Int64
 
 	mu sync.Mutex
-	// frozen closes when a frozen process wakes; nil is awake.
+	// frozen is closed when a suspended process resumes; it is nil while the process runs.
 	frozen chan struct{}
 }
 
-// hold waits until the process is awake; a frozen one does not notice that its time is over.
-func (p *newsProcess) hold() {
+// waitUnfrozen blocks while the process is suspended; it ignores deadlines, which a suspended process does not
+// notice.
+func (p *newsProcess) waitUnfrozen() {
 	p.mu.Lock()
 	c := p.frozen
 	p.mu.Unlock()
@@ -92,8 +94,8 @@
 	}
 }
 
-// awake waits until the process is awake or the asker's time is over.
-func (p *newsProcess) awake(ctx context.Context) {
+// waitUnfrozenOrDone blocks while the process is suspended, at most until the caller's context ends.
+func (p *newsProcess) waitUnfrozenOrDone(ctx context.Context) {
 	p.mu.Lock()
 	c := p.frozen
 	p.mu.Unlock()
@@ -115,7 +117,7 @@
 	}
 }
 
-func (p *newsProcess) wake() {
+func (p *newsProcess) unfreeze() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.frozen != nil {
@@ -130,50 +132,50 @@
 	return p.frozen != nil
 }
 
-// platform is the process's view of the platform.
+// platform returns the process's connection to the simulated platform.
 func (p *newsProcess) platform() *records.Platform {
 	return &records.Platform{
 		Store: records.Store{
 			Probe: func(ctx context.Context, _ string, _ id.Position) error {
-				p.hold()
-				err := p.door.answers(ctx)
-				p.hold()
+				p.waitUnfrozen()
+				err := p.storeClient.probe(ctx)
+				p.waitUnfrozen()
 				return err
 			},
 			Snapshot: func(ctx context.Context, topic string, progress records.Progress) ([]records.Record, id.Position, error) {
-				p.hold()
-				l, next, err := p.door.newest(ctx, topic, progress)
-				p.hold()
-				p.tally.brought(p.storeWay(), l)
+				p.waitUnfrozen()
+				l, next, err := p.storeClient.snapshot(ctx, topic, progress)
+				p.waitUnfrozen()
+				p.observer.noteFromStore(p.learntViaStore(), l)
 				return l, next, err
 			},
 			Read: func(ctx context.Context, topic string, from id.Position, wait time.Duration) (records.ReadResult, error) {
-				p.hold()
-				l, next, err := p.door.read(ctx, topic, from, wait)
-				p.hold()
-				p.tally.brought(p.storeWay(), l)
+				p.waitUnfrozen()
+				l, next, err := p.storeClient.read(ctx, topic, from, wait)
+				p.waitUnfrozen()
+				p.observer.noteFromStore(p.learntViaStore(), l)
 				return records.ReadResult{Records: l, Next: next, End: next}, err
 			},
 		},
-		Operators: records.Topic{Name: newsOperators, Apply: p.applyConfig, Version: newsNumber},
-		Upstreams: records.Topic{Name: newsUpstreams, Apply: p.applyUpstream, Normalise: newsReduce, KeysAreUpstreams: true},
+		Operators: records.Topic{Name: newsOperators, Apply: p.applyConfig, Version: newsConfigNumber},
+		Upstreams: records.Topic{Name: newsUpstreams, Apply: p.applyUpstream, Normalise: newsStripHeartbeat, KeysAreUpstreams: true},
 	}
 }
 
-func (p *newsProcess) storeWay() newsWay {
-	if p.role == newsFirst {
-		return newsByStore
+func (p *newsProcess) learntViaStore() newsLearntVia {
+	if p.role == newsFirstGateway {
+		return newsViaReaderStore
 	}
-	return newsByTakeover
+	return newsViaOtherStore
 }
 
-// newsNumber is the number of a configuration, from 1 on.
-func newsNumber(r records.Record) uint64 {
+// newsConfigNumber returns the version number of a configuration record, counted from 1.
+func newsConfigNumber(r records.Record) uint64 {
 	return uint64(newsVersionOf(r.Value) + 1)
 }
 
 func (p *newsProcess) applyConfig(r records.Record) error {
-	p.tally.learn(r)
+	p.observer.noteApplied(r)
 	return nil
 }
 
@@ -183,102 +185,102 @@
 			ID: id.Instance(r.Key), Address: r.Key, Leaving: newsStageOf(r.Value) == newsLeaving, ListPosition: r.Position,
 		})
 	}
-	p.tally.learn(r)
+	p.observer.noteApplied(r)
 	return nil
 }
 
-// newsMark sets what a heartbeat counts apart from the rest of an upstream's value.
-const newsMark = '|'
+// newsHeartbeatSeparator separates the heartbeat counter from the rest of an upstream's value.
+const newsHeartbeatSeparator = '|'
 
-// newsReduce leaves out what heartbeats count.
-func newsReduce(value []byte) []byte {
-	if i := bytes.LastIndexByte(value, newsMark); i >= 0 {
+// newsStripHeartbeat removes the heartbeat counter from an upstream's value.
+func newsStripHeartbeat(value []byte) []byte {
+	if i := bytes.LastIndexByte(value, newsHeartbeatSeparator); i >= 0 {
 		return value[:i]
 	}
 	return value
 }
 
-// newsNet joins processes by function calls over shaped links.
-type newsNet struct {
+// newsNetwork connects processes by function calls over links of limited bandwidth.
+type newsNetwork struct {
 	byName map[string]*newsProcess
-	// regions are the links from one region to another, by direction.
-	regions [][]*newsPipe
-	// regionDelay is the way between two regions.
+	// regionLinks holds the links from each region to each other one, indexed by source and destination.
+	regionLinks [][]*newsLink
+	// regionDelay is the one-way latency between two regions.
 	regionDelay time.Duration
-	// first is the first gateway of each domain.
-	first []*newsProcess
+	// firstGateways holds the gateway of each domain that is first in the takeover order.
+	firstGateways []*newsProcess
 }
 
-// delay is that of the way between two regions, once.
-func (n *newsNet) delay(from, to int) time.Duration {
+// delay returns the one-way latency between two regions.
+func (n *newsNetwork) delay(from, to int) time.Duration {
 	if from == to {
 		return newsLocalDelay
 	}
 	return n.regionDelay
 }
 
-// way lists the links from one region to a process.
-func (n *newsNet) way(from int, to *newsProcess) []*newsPipe {
+// linksTo lists the links from a region to a process.
+func (n *newsNetwork) linksTo(from int, to *newsProcess) []*newsLink {
 	if from == to.region {
-		return []*newsPipe{to.down}
+		return []*newsLink{to.downlink}
 	}
-	return []*newsPipe{n.regions[from][to.region], to.down}
+	return []*newsLink{n.regionLinks[from][to.region], to.downlink}
 }
 
-// ask brings a process's question to another one, and its answer back.
-func (n *newsNet) ask(ctx context.Context, p *newsProcess, address string, q *pb.FollowRequest) (*pb.FollowResponse, error) {
-	p.hold()
-	p.asked.Add(1)
+// follow sends a process's request for records to another process and returns the answer.
+func (n *newsNetwork) follow(ctx context.Context, p *newsProcess, address string, q *pb.FollowRequest) (*pb.FollowResponse, error) {
+	p.waitUnfrozen()
+	p.questions.Add(1)
 	to := n.byName[address]
 	if to == nil {
-		return nil, trace.NotFound("no process %s", address)
+		return nil, trace.NotFound("process %s does not exist", address)
 	}
 	delay := n.delay(p.region, to.region)
 	kernel.Pause(ctx, delay)
-	a, err := to.answer(ctx, q)
+	a, err := to.serveFollow(ctx, q)
 	if err != nil {
-		p.hold()
+		p.waitUnfrozen()
 		return nil, err
 	}
-	size := proto.Size(a) + newsHead
-	if err := newsSend(ctx, size, delay, append(n.way(to.region, p), to.up)...); err != nil {
+	size := proto.Size(a) + newsMessageOverhead
+	if err := newsSend(ctx, size, delay, append(n.linksTo(to.region, p), to.uplink)...); err != nil {
 		return nil, err
 	}
-	to.gave.Add(int64(size))
-	p.got.Add(int64(size))
-	p.hold()
+	to.sentBytes.Add(int64(size))
+	p.receivedBytes.Add(int64(size))
+	p.waitUnfrozen()
 	switch a.GetOrigin() {
 	case p.name:
-	// The follower takes nothing from one that follows itself.
-	case n.first[p.domain].name:
-		p.tally.told(newsByQuestion, a)
+	// A follower ignores an answer that originates from itself.
+	case n.firstGateways[p.domain].name:
+		p.observer.noteFromPeer(newsViaFirstGateway, a)
 	default:
-		p.tally.told(newsByOther, a)
+		p.observer.noteFromPeer(newsViaOtherProcess, a)
 	}
 	return a, nil
 }
 
-// answer is what the process says to a question, while it is awake and has not ended.
-func (p *newsProcess) answer(ctx context.Context, q *pb.FollowRequest) (*pb.FollowResponse, error) {
+// serveFollow answers a request for records once the process is not suspended; it fails if the process has ended.
+func (p *newsProcess) serveFollow(ctx context.Context, q *pb.FollowRequest) (*pb.FollowResponse, error) {
 	ctx, end := context.WithCancel(ctx)
 	defer end()
 	defer context.AfterFunc(p.ctx, end)()
-	p.awake(ctx)
+	p.waitUnfrozenOrDone(ctx)
 	if p.ctx.Err() != nil {
-		return nil, trace.Wrap(errNewsGone)
+		return nil, trace.Wrap(errNewsProcessEnded)
 	}
 	a, err := p.service.Follow(ctx, q)
-	p.awake(ctx)
+	p.waitUnfrozenOrDone(ctx)
 	switch {
 	case p.ctx.Err() != nil:
-		return nil, trace.Wrap(errNewsGone)
+		return nil, trace.Wrap(errNewsProcessEnded)
 	case err != nil:
 		return nil, trace.Wrap(err)
 	}
 	return a, trace.Wrap(ctx.Err())
 }
 
-// newsName is the address of a process.
-func newsName(kind string, domain, i int) string {
+// newsAddress returns a process's name, which is also its address.
+func newsAddress(kind string, domain, i int) string {
 	return fmt.Sprintf("%s-%d-%d", kind, domain, i)
 }
--- a/internal/measure/newsrun.go
+++ b/internal/measure/newsrun.go
@@ -19,50 +19,50 @@
 )
 
 const (
-	// newsStartMost bounds the start, in which each process gets the whole configuration.
-	newsStartMost = 2 * time.Minute
-	// newsStarted is how long all processes run with everything before the first change.
-	newsStarted = 2 * time.Second
-	// newsLook is the time between two looks at what processes know.
-	newsLook = 50 * time.Millisecond
+	// newsStartTimeout limits the start, in which each process loads the whole configuration.
+	newsStartTimeout = 2 * time.Minute
+	// newsWarmUp is how long all processes run with the complete state before the first change.
+	newsWarmUp = 2 * time.Second
+	// newsPollEvery is the interval at which the processes' states are checked.
+	newsPollEvery = 50 * time.Millisecond
 )
 
-// newsRun is a run of a plan.
+// newsRun executes a plan and collects its results.
 type newsRun struct {
 	plan      *newsPlan
 	store     *newsStore
-	net       *newsNet
+	net       *newsNetwork
 	processes []*newsProcess
-	// order lists each domain's gateways as they take over from each other.
-	order [][]*newsProcess
-	// began is the time zero of the changes.
-	began atomic.Pointer[time.Time]
-	cpu   time.Duration
-	// before is what doors and links had carried when the changes began.
-	before []newsCounts
-	pad    string
-	mu     sync.Mutex
-	listed map[string]newsStage
+	// gatewayOrder lists each domain's gateways in the order in which they take over from each other.
+	gatewayOrder [][]*newsProcess
+	// startedAt is the time from which the times of changes are counted.
+	startedAt atomic.Pointer[time.Time]
+	cpuBefore time.Duration
+	// countsBefore holds the processes' traffic counters from before the first change.
+	countsBefore []newsCounts
+	padding      string
+	mu           sync.Mutex
+	listed       map[string]newsStage
 	// config is the newest configuration.
 	config []byte
-	// timers are how late timers of this process came, in seconds.
-	timers []float64
-	wait   sync.WaitGroup
+	// timerLateness holds how late this process's timers fired, in seconds.
+	timerLateness []float64
+	wait          sync.WaitGroup
 }
 
-// newNewsRun makes the store and all processes; it starts nothing.
+// newNewsRun creates the store and all processes without starting them.
 func newNewsRun(ctx context.Context, p *newsPlan) *newsRun {
 	p.schedule()
 	r := &newsRun{
 		plan: p, store: newNewsStore(newsOperators, newsUpstreams), listed: map[string]newsStage{},
-		net: &newsNet{byName: map[string]*newsProcess{}, regionDelay: p.regionDelay},
-		pad: strings.Repeat("model@1 ", newsUpstreamPad/8),
+		net:     &newsNetwork{byName: map[string]*newsProcess{}, regionDelay: p.regionDelay},
+		padding: strings.Repeat("model@1 ", newsUpstreamPadding/8),
 	}
-	r.begin()
+	r.setStart()
 	for i := range p.regions {
-		r.net.regions = append(r.net.regions, nil)
+		r.net.regionLinks = append(r.net.regionLinks, nil)
 		for range p.regions {
-			r.net.regions[i] = append(r.net.regions[i], newNewsPipe(p.regionMbps))
+			r.net.regionLinks[i] = append(r.net.regionLinks[i], newNewsLink(p.regionMbps))
 		}
 	}
 	for d := range p.domains {
@@ -71,25 +71,26 @@
 	return r
 }
 
-// addDomain makes the processes of a domain; domains lie in regions by turns, and the store in the first region.
+// addDomain creates the processes of a domain. Domains are assigned to regions in rotation; the store is in the first
+// region.
 func (r *newsRun) addDomain(ctx context.Context, d int) {
 	p := r.plan
 	var names []string
-	for i := range share(p.gateways, p.domains, d) {
-		names = append(names, newsName("gateway", d, i))
+	for i := range evenShare(p.gateways, p.domains, d) {
+		names = append(names, newsAddress("gateway", d, i))
 	}
 	order, _ := records.Sources(newsDomain(d), names, "")
 	var gateways []*newsProcess
 	for i, name := range order {
-		role := newsGateway
+		role := newsOtherGateway
 		if i == 0 {
-			role = newsFirst
+			role = newsFirstGateway
 		}
 		gateways = append(gateways, r.addProcess(ctx, name, d, role))
 	}
-	r.order, r.net.first = append(r.order, gateways), append(r.net.first, gateways[0])
-	for i := range share(p.stagers, p.domains, d) {
-		r.addProcess(ctx, newsName("stager", d, i), d, newsStager)
+	r.gatewayOrder, r.net.firstGateways = append(r.gatewayOrder, gateways), append(r.net.firstGateways, gateways[0])
+	for i := range evenShare(p.stagers, p.domains, d) {
+		r.addProcess(ctx, newsAddress("stager", d, i), d, newsStager)
 	}
 }
 
@@ -97,8 +98,8 @@
 	return id.Domain(fmt.Sprintf("domain-%d", d))
 }
 
-// share is the i-th of some nearly equal parts.
-func share(all, parts, i int) int {
+// evenShare returns the size of the i-th of some nearly equal parts of a whole.
+func evenShare(all, parts, i int) int {
 	return (all*(i+1))/parts - (all*i)/parts
 }
 
@@ -106,103 +107,104 @@
 	n := len(r.processes)
 	p := &newsProcess{
 		name: name, role: role, domain: domain, region: domain % r.plan.regions, facts: facts.New(time.Now),
-		up: newNewsPipe(r.plan.processMbps), down: newNewsPipe(r.plan.processMbps),
-		tally: newNewsColumn(r.plan, r.since),
+		uplink: newNewsLink(r.plan.processMbps), downlink: newNewsLink(r.plan.processMbps),
+		observer: newNewsObserver(r.plan, r.since),
 	}
 	p.ctx, p.stop = context.WithCancel(ctx)
-	delay, way := r.net.delay(0, p.region), r.net.way(0, p)
-	p.door = &newsDoor{
-		store: r.store, delay: delay, random: r.plan.source(newsRandomDoors + uint64(n)),
-		send: func(ctx context.Context, bytes int) error { return newsSend(ctx, bytes, 0, way...) },
+	delay, links := r.net.delay(0, p.region), r.net.linksTo(0, p)
+	p.storeClient = &newsStoreClient{
+		store: r.store, delay: delay, random: r.plan.newRandom(newsRandomStoreClients + uint64(n)),
+		send: func(ctx context.Context, bytes int) error { return newsSend(ctx, bytes, 0, links...) },
 	}
 	s := &records.Settings{ConfigWait: newsListEvery, ListEvery: newsListEvery, StartWait: newsStartWait}
-	p.records = records.New(s, p.platform(), p.facts, newsDomain(domain), name, time.Now, newsQuiet)
+	p.records = records.New(s, p.platform(), p.facts, newsDomain(domain), name, time.Now, newsDiscardLogger)
 	p.service = p.records.UseTransport(func(ctx context.Context, address string, q *pb.FollowRequest) (*pb.FollowResponse, error) {
-		return r.net.ask(ctx, p, address, q)
+		return r.net.follow(ctx, p, address, q)
 	})
 	r.processes = append(r.processes, p)
 	r.net.byName[name] = p
 	return p
 }
 
-// begin sets the time zero.
-func (r *newsRun) begin() {
+// setStart sets the time from which the times of changes are counted.
+func (r *newsRun) setStart() {
 	now := time.Now()
-	r.began.Store(&now)
+	r.startedAt.Store(&now)
 }
 
-// since is the time of the run.
+// since returns the time since the start of the run.
 func (r *newsRun) since() time.Duration {
-	return time.Since(*r.began.Load())
+	return time.Since(*r.startedAt.Load())
 }
 
-// run starts all processes, makes the changes and waits until all is known or the time for it is over.
+// run starts all processes, applies the changes and waits until all processes have them or the time for it is over.
 func (r *newsRun) run(ctx context.Context) (*newsRow, error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer func() {
 		stop()
 		for _, p := range r.processes {
 			p.stop()
-			p.wake()
+			p.unfreeze()
 		}
 		r.wait.Wait()
 	}()
-	text := newNewsText(r.plan.configBytes, r.plan.source(newsRandomConfig))
-	r.configure(text.version(0))
-	for _, key := range r.plan.first {
-		r.write(key, newsHere, 0)
+	text := newNewsConfigText(r.plan.configBytes, r.plan.newRandom(newsRandomConfig))
+	r.writeConfig(text.version(0))
+	for _, key := range r.plan.initialUpstreams {
+		r.writeUpstream(key, newsPresent, 0)
 	}
-	r.name()
-	r.wait.Go(func() { r.nameOn(ctx) })
-	if err := r.start(ctx); err != nil {
+	r.noteGateways()
+	r.wait.Go(func() { r.noteGatewaysPeriodically(ctx) })
+	if err := r.startProcesses(ctx); err != nil {
 		return nil, err
 	}
 	for _, p := range r.processes {
-		r.before = append(r.before, p.counts())
+		r.countsBefore = append(r.countsBefore, p.counts())
 	}
-	r.cpu = cpuTime()
-	r.begin()
-	r.wait.Go(func() { r.beat(ctx) })
+	r.cpuBefore = cpuTime()
+	r.setStart()
+	r.wait.Go(func() { r.writeHeartbeats(ctx) })
 	r.wait.Go(func() { r.watchTimers(ctx) })
-	r.wait.Go(func() { r.playFaults(ctx) })
+	r.wait.Go(func() { r.injectFaults(ctx) })
 	for i := range r.plan.changes {
 		c := &r.plan.changes[i]
 		kernel.Pause(ctx, c.at-r.since())
 		if ctx.Err() != nil {
 			return nil, trace.Wrap(ctx.Err())
 		}
-		r.make(c, text)
+		r.applyChange(c, text)
 	}
-	kernel.Pause(ctx, r.plan.lasts-r.since())
+	kernel.Pause(ctx, r.plan.duration-r.since())
 	r.settle(ctx)
 	return r.row(), trace.Wrap(ctx.Err())
 }
 
-// make writes a change and notes when the store had taken it.
-func (r *newsRun) make(c *newsChange, text *newsText) {
+// applyChange writes a change to the store and records when the store had taken it.
+func (r *newsRun) applyChange(c *newsChange, text *newsConfigText) {
 	if c.stage == newsConfig {
-		r.configure(text.version(c.version))
+		r.writeConfig(text.version(c.version))
 	} else {
-		r.write(c.key, c.stage, 0)
+		r.writeUpstream(c.key, c.stage, 0)
 	}
-	c.acked = max(r.since(), 1)
+	c.ackedAt = max(r.since(), 1)
 }
 
-// configure writes a configuration.
-func (r *newsRun) configure(value []byte) {
+// writeConfig writes a configuration to the store.
+func (r *newsRun) writeConfig(value []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.config = value
 	r.store.put(newsOperators, newsConfigKey, value)
 }
 
-// entry is an upstream's record.
-func (r *newsRun) entry(s newsStage, beat int) []byte {
-	return fmt.Appendf(nil, "%s %s%c%d", s, r.pad, newsMark, beat)
+// upstreamValue returns the value of an upstream's record.
+func (r *newsRun) upstreamValue(s newsStage, beat int) []byte {
+	return fmt.Appendf(nil, "%s %s%c%d", s, r.padding, newsHeartbeatSeparator, beat)
 }
 
-// write writes an upstream's record with the number of a heartbeat, which changes no stage.
-func (r *newsRun) write(key string, s newsStage, beat int) {
+// writeUpstream writes an upstream's record with the number of a heartbeat; a heartbeat above 0 keeps the listed
+// stage.
+func (r *newsRun) writeUpstream(key string, s newsStage, beat int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s == newsDropped {
@@ -217,18 +219,18 @@
 		return
 	}
 	r.listed[key] = s
-	r.store.put(newsUpstreams, key, r.entry(s, beat))
+	r.store.put(newsUpstreams, key, r.upstreamValue(s, beat))
 }
 
-// beat writes the upstreams' heartbeats, spread over their interval, until the context ends.
-func (r *newsRun) beat(ctx context.Context) {
+// writeHeartbeats writes the upstreams' heartbeats, spread over their interval, until the context ends.
+func (r *newsRun) writeHeartbeats(ctx context.Context) {
 	const slots = 20
 	if r.plan.heartbeat == 0 {
 		return
 	}
 	for n := 1; ctx.Err() == nil; n++ {
 		kernel.Pause(ctx, r.plan.heartbeat/slots)
-		if since := r.since(); r.plan.has(newsFaultDown) && since >= r.plan.faultAt() && since < r.plan.faultEnd() {
+		if since := r.since(); r.plan.hasFault(newsFaultStoreDown) && since >= r.plan.faultStart() && since < r.plan.faultEnd() {
 			continue
 		}
 		r.mu.Lock()
@@ -240,12 +242,12 @@
 		}
 		r.mu.Unlock()
 		for _, key := range due {
-			r.write(key, newsHere, n)
+			r.writeUpstream(key, newsPresent, n)
 		}
 	}
 }
 
-// newsSlot spreads keys over a number of slots.
+// newsSlot hashes a key to one of a number of slots.
 func newsSlot(key string, slots int) int {
 	n := 0
 	for _, c := range key {
@@ -254,46 +256,46 @@
 	return n % slots
 }
 
-// start runs the first gateways, then all others, until all hold what the store has.
-func (r *newsRun) start(ctx context.Context) error {
-	ctx, stop := context.WithTimeout(ctx, newsStartMost)
+// startProcesses starts the first gateways, then all others, and waits each time until they hold the store's state.
+func (r *newsRun) startProcesses(ctx context.Context) error {
+	ctx, stop := context.WithTimeout(ctx, newsStartTimeout)
 	defer stop()
 	for _, first := range []bool{true, false} {
 		for _, p := range r.processes {
-			if (p.role == newsFirst) == first {
+			if (p.role == newsFirstGateway) == first {
 				r.wait.Go(func() { _ = p.records.Run(p.ctx) })
 			}
 		}
 		for !r.complete(first) {
-			kernel.Pause(ctx, newsLook)
+			kernel.Pause(ctx, newsPollEvery)
 			if ctx.Err() != nil {
-				return trace.LimitExceeded("not all processes have started after %v", newsStartMost)
+				return trace.LimitExceeded("not all processes hold the initial state after %v", newsStartTimeout)
 			}
 		}
 	}
-	kernel.Pause(ctx, newsStarted)
+	kernel.Pause(ctx, newsWarmUp)
 	return trace.Wrap(ctx.Err())
 }
 
-// complete says whether all first gateways, or all processes, hold the first state.
+// complete reports whether all first gateways, or all processes, hold the initial state.
 func (r *newsRun) complete(first bool) bool {
 	return !slices.ContainsFunc(r.processes, func(p *newsProcess) bool {
-		return (!first || p.role == newsFirst) && !p.tally.complete()
+		return (!first || p.role == newsFirstGateway) && !p.observer.complete()
 	})
 }
 
-// nameOn tells the processes of their domain's gateways again and again until the context ends.
-func (r *newsRun) nameOn(ctx context.Context) {
+// noteGatewaysPeriodically notifies the processes of their domain's gateways at an interval until the context ends.
+func (r *newsRun) noteGatewaysPeriodically(ctx context.Context) {
 	for ctx.Err() == nil {
-		kernel.Pause(ctx, newsNamedEvery)
-		r.name()
+		kernel.Pause(ctx, newsGatewayNoticeEvery)
+		r.noteGateways()
 	}
 }
 
-// name tells the processes of the gateways of their domain that have not ended.
-func (r *newsRun) name() {
+// noteGateways notifies the processes of the gateways of their domain that have not ended.
+func (r *newsRun) noteGateways() {
 	for _, p := range r.processes {
-		for _, g := range r.order[p.domain] {
+		for _, g := range r.gatewayOrder[p.domain] {
 			if g.ctx.Err() == nil && !p.isFrozen() {
 				p.facts.NoteGateway(g.name)
 			}
@@ -301,42 +303,43 @@
 	}
 }
 
-// watchTimers notes how late timers come: where this machine has too little processor time, the times are its own.
+// watchTimers records how late timers fire: where the machine lacks CPU time, the measured delays include that
+// lateness.
 func (r *newsRun) watchTimers(ctx context.Context) {
 	const every = 10 * time.Millisecond
 	for ctx.Err() == nil {
 		from := time.Now()
 		kernel.Pause(ctx, every)
 		r.mu.Lock()
-		r.timers = append(r.timers, max(0, time.Since(from)-every).Seconds())
+		r.timerLateness = append(r.timerLateness, max(0, time.Since(from)-every).Seconds())
 		r.mu.Unlock()
 	}
 }
 
-// late is how late all but one in a hundred timers came at most, and the latest.
-func (r *newsRun) late() (p99, most float64) {
+// timerLatenessQuantiles returns the 99th percentile and the maximum of how late timers fired.
+func (r *newsRun) timerLatenessQuantiles() (p99, maximum float64) {
 	r.mu.Lock()
-	l := slices.Sorted(slices.Values(r.timers))
+	l := slices.Sorted(slices.Values(r.timerLateness))
 	r.mu.Unlock()
-	return newsPart(l, 0.99), newsPart(l, 1)
+	return newsQuantile(l, 0.99), newsQuantile(l, 1)
 }
 
-// settle waits until all processes have the store's state, or the time for it is over.
+// settle waits until all processes hold the store's state, or newsSettleTimeout is over.
 func (r *newsRun) settle(ctx context.Context) {
-	for over := time.Now().Add(newsSettles); ctx.Err() == nil && time.Now().Before(over); {
+	for deadline := time.Now().Add(newsSettleTimeout); ctx.Err() == nil && time.Now().Before(deadline); {
 		if len(r.differences()) == 0 {
 			return
 		}
-		kernel.Pause(ctx, newsLook)
+		kernel.Pause(ctx, newsPollEvery)
 	}
 }
 
-// newsCounts is what a process has moved.
+// newsCounts holds a process's traffic counters.
 type newsCounts struct {
-	calls, storeBytes, asked, gave, got int64
+	storeCalls, storeBytes, questions, sentBytes, receivedBytes int64
 }
 
 func (p *newsProcess) counts() newsCounts {
-	calls, bytes := p.door.counted()
-	return newsCounts{calls: calls, storeBytes: bytes, asked: p.asked.Load(), gave: p.gave.Load(), got: p.got.Load()}
+	calls, bytes := p.storeClient.counts()
+	return newsCounts{storeCalls: calls, storeBytes: bytes, questions: p.questions.Load(), sentBytes: p.sentBytes.Load(), receivedBytes: p.receivedBytes.Load()}
 }
--- a/internal/measure/newstally.go
+++ b/internal/measure/newstally.go
@@ -12,23 +12,24 @@
 	"github.com/springrail/springrail/internal/records"
 )
 
-// newsStage is how far an upstream's key has come; a version of the configuration is a stage of its own kind.
+// newsStage is the stage of an upstream's key, in the order that it passes through; a version of the configuration
+// has a stage of its own.
 type newsStage int
 
 const (
 	newsNone newsStage = iota
-	newsHere
+	newsPresent
 	newsLeaving
 	newsDropped
 	newsConfig
-	newsStages
+	newsStageCount
 )
 
 func (s newsStage) String() string {
 	return [...]string{"none", "appears", "leaves", "dropped", "configuration"}[s]
 }
 
-// newsStageOf reads the stage from an upstream's value.
+// newsStageOf returns the stage that an upstream's value states.
 func newsStageOf(value []byte) newsStage {
 	switch {
 	case value == nil:
@@ -36,125 +37,125 @@
 	case bytes.HasPrefix(value, []byte(newsLeaving.String())):
 		return newsLeaving
 	default:
-		return newsHere
+		return newsPresent
 	}
 }
 
-// newsVersionOf reads the version from a configuration.
+// newsVersionOf returns the version number on the first line of a configuration.
 func newsVersionOf(value []byte) int {
 	line, _, _ := bytes.Cut(value, []byte("\n"))
 	n, _ := strconv.Atoi(string(line))
 	return n
 }
 
-// newsWay is how a process came to know of a change.
-type newsWay int
+// newsLearntVia is how a process learnt of a change.
+type newsLearntVia int
 
 const (
-	newsUnknown newsWay = iota
-	newsByStore
-	newsByTakeover
-	newsByQuestion
-	newsByOther
-	newsByWhole
-	newsOvertaken
-	newsWays
+	newsViaUnknown newsLearntVia = iota
+	newsViaReaderStore
+	newsViaOtherStore
+	newsViaFirstGateway
+	newsViaOtherProcess
+	newsViaSnapshot
+	newsViaOvertaken
+	newsViaCount
 )
 
-func (w newsWay) String() string {
+func (w newsLearntVia) String() string {
 	return [...]string{
 		"unknown", "store read by the first gateway", "store read by another process", "question, from the first gateway",
 		"question, from another process", "concluded from a whole list", "overtaken by the next change",
 	}[w]
 }
 
-// newsChange is a change of the list or of the configuration, made at a time of the run.
+// newsChange is a change of the list of upstreams or of the configuration, applied at a time of the run.
 type newsChange struct {
 	at    time.Duration
 	key   string
 	stage newsStage
-	// version is that of a configuration.
+	// version is the number of the configuration, where the change is one.
 	version int
-	// acked is when the store had taken it; zero is never.
-	acked time.Duration
+	// ackedAt is when the store had taken the change; zero means never.
+	ackedAt time.Duration
 }
 
-// newsKnown is when and how a process knew of a change.
+// newsKnown is when and how a process learnt of a change.
 type newsKnown struct {
 	at  time.Duration
-	way newsWay
+	via newsLearntVia
 }
 
-// newsSpan is a time in which a process was not in touch.
+// newsSpan is a time in which a process could not receive changes.
 type newsSpan struct {
 	from, to time.Duration
 }
 
-// newsColumn is what one process knows of the changes. It is safe for concurrent use.
-type newsColumn struct {
+// newsObserver records when and how one process learns of each change. It is safe for concurrent use.
+type newsObserver struct {
 	plan  *newsPlan
 	since func() time.Duration
 
 	mu    sync.Mutex
 	known []newsKnown
-	// stages holds the keys with their newest stage.
+	// stages holds the newest stage of each key that is not dropped.
 	stages  map[string]newsStage
 	version int
-	// ways says what brought a record that was not yet applied.
-	ways map[newsRecord]newsWay
-	// away are the times in which the process was not in touch; an open one ends with the run.
-	away []newsSpan
+	// sources holds how each received record arrived.
+	sources map[newsRecordID]newsLearntVia
+	// disconnections holds the times in which the process could not receive changes; an open one ends with the run.
+	disconnections []newsSpan
 }
 
-// newsRecord names a record.
-type newsRecord struct {
+// newsRecordID identifies a record.
+type newsRecordID struct {
 	key     string
 	offset  id.Position
 	dropped bool
 }
 
-func newNewsColumn(p *newsPlan, since func() time.Duration) *newsColumn {
-	return &newsColumn{
+func newNewsObserver(p *newsPlan, since func() time.Duration) *newsObserver {
+	return &newsObserver{
 		plan: p, since: since, known: make([]newsKnown, len(p.changes)), stages: map[string]newsStage{},
-		version: -1, ways: map[newsRecord]newsWay{},
+		version: -1, sources: map[newsRecordID]newsLearntVia{},
 	}
 }
 
-// brought notes what came from the store.
-func (c *newsColumn) brought(w newsWay, l []records.Record) {
+// noteFromStore records which records came from the store.
+func (c *newsObserver) noteFromStore(w newsLearntVia, l []records.Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, r := range l {
-		c.ways[newsRecord{key: r.Key, offset: r.Position, dropped: r.Value == nil}] = w
+		c.sources[newsRecordID{key: r.Key, offset: r.Position, dropped: r.Value == nil}] = w
 	}
 }
 
-// told notes what came from another process.
-func (c *newsColumn) told(w newsWay, a *pb.FollowResponse) {
+// noteFromPeer records which records came from another process.
+func (c *newsObserver) noteFromPeer(w newsLearntVia, a *pb.FollowResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, t := range a.GetTopics() {
 		for _, r := range t.GetRecords() {
-			n := newsRecord{key: r.GetKey(), offset: id.Position(r.GetOffset()), dropped: r.GetDropped()}
-			if c.ways[n] == newsUnknown {
-				c.ways[n] = w
+			n := newsRecordID{key: r.GetKey(), offset: id.Position(r.GetOffset()), dropped: r.GetDropped()}
+			if c.sources[n] == newsViaUnknown {
+				c.sources[n] = w
 			}
 		}
 	}
 }
 
-// learn takes a record that the process has applied.
-func (c *newsColumn) learn(r records.Record) {
+// noteApplied records that the process has applied a record.
+func (c *newsObserver) noteApplied(r records.Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	way := c.ways[newsRecord{key: r.Key, offset: r.Position, dropped: r.Value == nil}]
-	if way == newsUnknown {
-		way = newsByWhole
+	via := c.sources[newsRecordID{key: r.Key, offset: r.Position, dropped: r.Value == nil}]
+	if via == newsViaUnknown {
+		via = newsViaSnapshot
 	}
-	k := newsKnown{at: c.since(), way: way}
+	k := newsKnown{at: c.since(), via: via}
 	if r.Key == newsConfigKey {
 		c.version = newsVersionOf(r.Value)
-		for v := c.version; v > 0 && c.note(c.plan.versions[v], k); v-- { //nolint:revive // all work is in the condition
+		for v := c.version; v > 0 && c.markKnown(c.plan.versions[v], k); v-- { //nolint:revive // all work is in the condition
 		}
 		return
 	}
@@ -166,41 +167,42 @@
 	}
 	for _, i := range c.plan.keys[r.Key] {
 		if c.plan.changes[i].stage <= stage {
-			c.note(i, k)
+			c.markKnown(i, k)
 		}
 	}
 }
 
-// note says whether the change was news; the caller holds the lock.
-func (c *newsColumn) note(i int, k newsKnown) bool {
-	if c.known[i].way != newsUnknown {
+// markKnown records when and how a change became known, and reports whether it was unknown before; the caller holds
+// the lock.
+func (c *newsObserver) markKnown(i int, k newsKnown) bool {
+	if c.known[i].via != newsViaUnknown {
 		return false
 	}
 	c.known[i] = k
 	return true
 }
 
-// leave begins a time out of touch, and join ends it.
-func (c *newsColumn) leave() {
+// disconnect begins a time in which the process can't receive changes, and reconnect ends it.
+func (c *newsObserver) disconnect() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.away = append(c.away, newsSpan{from: c.since(), to: -1})
+	c.disconnections = append(c.disconnections, newsSpan{from: c.since(), to: -1})
 }
 
-func (c *newsColumn) join() {
+func (c *newsObserver) reconnect() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i := range c.away {
-		if c.away[i].to < 0 {
-			c.away[i].to = c.since()
+	for i := range c.disconnections {
+		if c.disconnections[i].to < 0 {
+			c.disconnections[i].to = c.since()
 		}
 	}
 }
 
-// inTouch is how much of a time the process was in touch; the caller holds the lock.
-func (c *newsColumn) inTouch(from, to time.Duration) time.Duration {
+// connectedTime returns how much of a time the process could receive changes; the caller holds the lock.
+func (c *newsObserver) connectedTime(from, to time.Duration) time.Duration {
 	d := to - from
-	for _, s := range c.away {
+	for _, s := range c.disconnections {
 		if s.to < 0 {
 			s.to = to
 		}
@@ -209,53 +211,54 @@
 	return max(0, d)
 }
 
-// holds says whether the process has a key that it was told of.
-func (c *newsColumn) holds(key string) bool {
+// holdsKey reports whether the process has applied a key that is not dropped; the caller holds the lock.
+func (c *newsObserver) holdsKey(key string) bool {
 	return c.stages[key] != newsNone
 }
 
-// wait says how long a process was without a change, and how that ended; never says that it did not.
-func (c *newsColumn) wait(i int) (d time.Duration, way newsWay, never bool) {
+// propagationDelay returns how long the process lacked a change while it could receive changes, and how it learnt of
+// it; never reports that it did not.
+func (c *newsObserver) propagationDelay(i int) (d time.Duration, via newsLearntVia, never bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	g := &c.plan.changes[i]
-	if k := c.known[i]; k.way != newsUnknown {
-		return c.inTouch(g.acked, k.at), k.way, false
+	if k := c.known[i]; k.via != newsViaUnknown {
+		return c.connectedTime(g.ackedAt, k.at), k.via, false
 	}
-	if g.stage == newsConfig || c.holds(g.key) {
-		return 0, newsUnknown, true
+	if g.stage == newsConfig || c.holdsKey(g.key) {
+		return 0, newsViaUnknown, true
 	}
-	// A key that is gone and that the process never had: what it missed has been overtaken.
+	// The key is dropped and the process never held it: the drop overtook the change.
 	last := &c.plan.changes[c.plan.keys[g.key][len(c.plan.keys[g.key])-1]]
-	if last.stage != newsDropped || last.acked == 0 {
-		return 0, newsUnknown, true
+	if last.stage != newsDropped || last.ackedAt == 0 {
+		return 0, newsViaUnknown, true
 	}
-	return c.inTouch(g.acked, last.acked), newsOvertaken, false
+	return c.connectedTime(g.ackedAt, last.ackedAt), newsViaOvertaken, false
 }
 
-// passed says whether the process knows of a later change of the same topic.
-func (c *newsColumn) passed(i int) bool {
+// knowsLaterChange reports whether the process knows a later change of the same topic.
+func (c *newsObserver) knowsLaterChange(i int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	g := &c.plan.changes[i]
 	for j := range c.plan.changes {
 		l := &c.plan.changes[j]
-		if (l.stage == newsConfig) == (g.stage == newsConfig) && l.key != g.key && l.acked > g.acked && c.known[j].way != newsUnknown {
+		if (l.stage == newsConfig) == (g.stage == newsConfig) && l.key != g.key && l.ackedAt > g.ackedAt && c.known[j].via != newsViaUnknown {
 			return true
 		}
 	}
 	return false
 }
 
-// complete says whether the process holds the first state.
-func (c *newsColumn) complete() bool {
+// complete reports whether the process holds the initial state.
+func (c *newsObserver) complete() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.version >= 0 && len(c.stages) == len(c.plan.first)
+	return c.version >= 0 && len(c.stages) == len(c.plan.initialUpstreams)
 }
 
-// state copies what the process holds.
-func (c *newsColumn) state() (stages map[string]newsStage, version int) {
+// state returns a copy of the process's stages and its configuration version.
+func (c *newsObserver) state() (stages map[string]newsStage, version int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return maps.Clone(c.stages), c.version
