--- a/internal/measure/news.go
+++ b/internal/measure/news.go
@@ -14,11 +14,11 @@
 	"github.com/gravitational/trace"
 )
 
-// errNeverKnown means that some change never reached some process.
-var errNeverKnown = errors.New("some changes never reached every process")
+// errChangesLost means that some change never reached some process.
+var errChangesLost = errors.New("some changes never reached every process")
 
-// errDifferent means that a process's final state differs from the store's.
-var errDifferent = errors.New("the final state of some processes differs from the store's")
+// errStatesDiffer means that a process's final state differs from the store's.
+var errStatesDiffer = errors.New("the final state of some processes differs from the store's")
 
 type newsRuns struct {
 	Runs []*newsRow `json:"runs"`
@@ -73,7 +73,7 @@
 			return err
 		}
 		rows = append(rows, row)
-		never, different = never+row.All.Never, different+len(row.Different)
+		never, different = never+row.All.Never, different+len(row.Differences)
 		if !f.json {
 			row.print(w)
 		}
@@ -90,9 +90,9 @@
 	}
 	switch {
 	case never > 0:
-		return trace.Wrap(errNeverKnown)
+		return trace.Wrap(errChangesLost)
 	case different > 0:
-		return trace.Wrap(errDifferent)
+		return trace.Wrap(errStatesDiffer)
 	}
 	return nil
 }
@@ -106,7 +106,7 @@
 	fmt.Fprintln(t, "gateways\tstagers\tdomains\tregions\tfault\tseed\tchanges\tnever known\tpassed over\tlate\tp50 s\tp95 s\tp99 s\tp100 s\tdifferent\tended\tCPU\ttimers late s\t")
 	a := &w.All
 	fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%s\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%.2f\t%.3f\t\n", w.Gateways, w.Stagers, w.Domains,
-		w.Regions, w.Fault, w.Seed, a.Changes, a.Never, a.PassedOver, a.Late, a.P50, a.P95, a.P99, a.P100, len(w.Different), w.ProcessesEnded, w.CPUShare, w.TimersLateMax)
+		w.Regions, w.Fault, w.Seed, a.Changes, a.Never, a.PassedOver, a.Late, a.P50, a.P95, a.P99, a.P100, len(w.Differences), w.ProcessesEnded, w.CPUShare, w.TimersLateMax)
 	_ = t.Flush()
 	w.printDelays(out)
 	t = tabwriter.NewWriter(out, 9, 0, 1, ' ', tabwriter.AlignRight)
@@ -150,9 +150,9 @@
 		fmt.Fprintf(out, "never known: %s %s, taken at %.2f s, by %d processes, of which %d know later ones: %s\n", n.Key, n.Change, n.AtSeconds,
 			len(n.Processes), len(n.PassedOver), newsAbbreviate(n.Processes))
 	}
-	for i, d := range w.Different {
+	for i, d := range w.Differences {
 		if i == newsMaxPrintedProblems {
-			fmt.Fprintf(out, "... %d more\n", len(w.Different)-i)
+			fmt.Fprintf(out, "... %d more\n", len(w.Differences)-i)
 			break
 		}
 		fmt.Fprintf(out, "different at the end: %s has %s as %s, the store %s\n", d.Process, d.Key, d.Holds, d.Store)
--- a/internal/measure/news_test.go
+++ b/internal/measure/news_test.go
@@ -42,7 +42,7 @@
 		Expect(r.All.Changes).To(BeNumerically(">=", 15))
 		Expect(r.All.Never).To(BeZero())
 		Expect(r.Never).To(BeEmpty())
-		Expect(r.Different).To(BeEmpty())
+		Expect(r.Differences).To(BeEmpty())
 		Expect(r.Points).To(HaveLen(r.All.Changes))
 		Expect(r.All.P50).To(BeNumerically(">", 0))
 		Expect(r.All.P100).To(BeNumerically(">=", r.All.P50))
--- a/internal/measure/newsfault.go
+++ b/internal/measure/newsfault.go
@@ -47,7 +47,7 @@
 	case newsFaultHistoryExpired:
 		for ctx.Err() == nil && r.since() < r.plan.faultEnd() {
 			r.store.expireHistory()
-			kernel.Pause(ctx, newsForgetEvery)
+			kernel.Pause(ctx, newsHistoryExpiryEvery)
 		}
 	}
 }
--- a/internal/measure/newstally.go
+++ b/internal/measure/newsobserver.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// newsVersionOf returns the version number on the first line of a configuration.
-func newsVersionOf(value []byte) int {
+// newsConfigVersion returns the version number on the first line of a configuration.
+func newsConfigVersion(value []byte) int {
 	line, _, _ := bytes.Cut(value, []byte("\n"))
 	n, _ := strconv.Atoi(string(line))
 	return n
@@ -86,8 +86,8 @@
 	via newsLearntVia
 }
 
-// newsSpan is a time in which a process could not receive changes.
-type newsSpan struct {
+// newsDisconnection is a time in which a process could not receive changes.
+type newsDisconnection struct {
 	from, to time.Duration
 }
 
@@ -104,7 +104,7 @@
 	// sources holds how each received record arrived.
 	sources map[newsRecordID]newsLearntVia
 	// disconnections holds the times in which the process could not receive changes; an open one ends with the run.
-	disconnections []newsSpan
+	disconnections []newsDisconnection
 }
 
 // newsRecordID identifies a record.
@@ -154,7 +154,7 @@
 	}
 	k := newsKnown{at: c.since(), via: via}
 	if r.Key == newsConfigKey {
-		c.version = newsVersionOf(r.Value)
+		c.version = newsConfigVersion(r.Value)
 		for v := c.version; v > 0 && c.markKnown(c.plan.versions[v], k); v-- { //nolint:revive // all work is in the condition
 		}
 		return
@@ -186,7 +186,7 @@
 func (c *newsObserver) disconnect() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.disconnections = append(c.disconnections, newsSpan{from: c.since(), to: -1})
+	c.disconnections = append(c.disconnections, newsDisconnection{from: c.since(), to: -1})
 }
 
 func (c *newsObserver) reconnect() {
--- a/internal/measure/newsplan.go
+++ b/internal/measure/newsplan.go
@@ -28,8 +28,8 @@
 	newsStormEvery = 300 * time.Millisecond
 	// newsLeavingDuration is how long an upstream is listed as leaving before it is dropped.
 	newsLeavingDuration = time.Second
-	// newsForgetEvery is the interval at which a store expires its history under that fault.
-	newsForgetEvery = time.Second
+	// newsHistoryExpiryEvery is the interval at which a store expires its history under that fault.
+	newsHistoryExpiryEvery = time.Second
 	// newsReaderReturnDropEvery is the interval of extra drops of keys around a reader's return to the store, from
 	// newsReaderReturnBefore until newsReaderReturnAfter: a reader that waits for an answer notices its return as
 	// late as that.
--- a/internal/measure/newsplot.go
+++ b/internal/measure/newsplot.go
@@ -17,8 +17,8 @@
 	// newsPlotWidth and newsPlotHeight fit an A4 page in landscape.
 	newsPlotWidth  = 26 * vg.Centimeter
 	newsPlotHeight = 14 * vg.Centimeter
-	// newsPlotNever is the legend entry of changes that some process never applied.
-	newsPlotNever = "never known by some process"
+	// newsPlotLostLabel is the legend entry of changes that some process never applied.
+	newsPlotLostLabel = "never known by some process"
 )
 
 // plot draws each change's propagation delay to the last process over the time at which the store took it. The file
@@ -36,11 +36,11 @@
 			return err
 		}
 	}
-	for i, name := range []string{newsPresent.String(), newsLeaving.String(), newsDropped.String(), newsConfig.String(), newsPlotNever} {
+	for i, name := range []string{newsPresent.String(), newsLeaving.String(), newsDropped.String(), newsConfig.String(), newsPlotLostLabel} {
 		var l plotter.XYs
 		for _, c := range w.Points {
 			switch {
-			case c.Never && name == newsPlotNever:
+			case c.Never && name == newsPlotLostLabel:
 				l = append(l, plotter.XY{X: c.At, Y: top})
 			case !c.Never && c.Change == name:
 				l = append(l, plotter.XY{X: c.At, Y: c.Seconds})
@@ -54,7 +54,7 @@
 			return trace.Wrap(err)
 		}
 		s.Color, s.Shape, s.Radius = plotutil.Color(i), plotutil.Shape(i), vg.Points(2.5)
-		if name == newsPlotNever {
+		if name == newsPlotLostLabel {
 			s.Color, s.Shape, s.Radius = color.RGBA{R: 0xd0, A: 0xff}, draw.CrossGlyph{}, vg.Points(5)
 		}
 		g.Add(s)
--- a/internal/measure/newsprocess.go
+++ b/internal/measure/newsprocess.go
@@ -171,7 +171,7 @@
 
 // newsConfigNumber returns the version number of a configuration record, counted from 1.
 func newsConfigNumber(r records.Record) uint64 {
-	return uint64(newsVersionOf(r.Value) + 1)
+	return uint64(newsConfigVersion(r.Value) + 1)
 }
 
 func (p *newsProcess) applyConfig(r records.Record) error {
--- a/internal/measure/newsrow.go
+++ b/internal/measure/newsrow.go
@@ -24,8 +24,8 @@
 	P100       float64 `json:"p100_seconds"`
 }
 
-// newsNever is a change that some processes never applied.
-type newsNever struct {
+// newsLostChange is a change that some processes never applied.
+type newsLostChange struct {
 	Key       string   `json:"key"`
 	Change    string   `json:"change"`
 	AtSeconds float64  `json:"at_seconds"`
@@ -102,8 +102,8 @@
 	All              newsDelays       `json:"all"`
 	Kinds            []newsDelays     `json:"kinds"`
 	Histogram        []newsBin        `json:"histogram"`
-	Never            []newsNever      `json:"never"`
-	Different        []newsDifference `json:"different"`
+	Never            []newsLostChange `json:"never"`
+	Differences      []newsDifference `json:"different"`
 	Ways             []newsViaRow     `json:"ways"`
 	Roles            []newsRoleRow    `json:"roles"`
 	Points           []newsPoint      `json:"points"`
@@ -115,7 +115,7 @@
 	w := &newsRow{
 		Gateways: p.gateways, Stagers: p.stagers, Domains: p.domains, Regions: p.regions, ChangesPerSecond: p.changesPerSecond,
 		ConfigBytes: p.configBytes, RegionMbps: p.regionMbps, Upstreams: p.upstreams, Seed: p.seed, Seconds: p.duration.Seconds(),
-		Fault: strings.Join(p.faults, "+"), Never: []newsNever{}, Different: r.differences(),
+		Fault: strings.Join(p.faults, "+"), Never: []newsLostChange{}, Differences: r.differences(),
 	}
 	elapsed := r.since().Seconds()
 	w.CPUShare = (cpuTime() - r.cpuBefore).Seconds() / elapsed
@@ -126,12 +126,12 @@
 			w.ProcessesEnded++
 		}
 	}
-	r.addTimes(w)
+	r.addDelays(w)
 	return w
 }
 
-// addTimes adds the changes' propagation delays to the row.
-func (r *newsRun) addTimes(w *newsRow) {
+// addDelays adds the changes' propagation delays to the row.
+func (r *newsRun) addDelays(w *newsRow) {
 	var times [newsStageCount][]float64
 	var delaysByVia [newsViaCount][]float64
 	var last [newsViaCount]int
@@ -156,11 +156,11 @@
 	for s := range times {
 		k := &w.Kinds[s]
 		k.Name = newsStage(s).String()
-		k.set(times[s])
+		k.summarise(times[s])
 		w.All.Changes, w.All.Never, w.All.PassedOver = w.All.Changes+k.Changes, w.All.Never+k.Never, w.All.PassedOver+k.PassedOver
 	}
 	all := slices.Concat(times[:]...)
-	w.All.set(all)
+	w.All.summarise(all)
 	w.Kinds = slices.DeleteFunc(w.Kinds, func(k newsDelays) bool { return k.Changes == 0 })
 	w.Histogram = newsHistogram(all)
 	for i, l := range delaysByVia {
@@ -172,9 +172,9 @@
 }
 
 // slowest returns the last process to learn of a change and how it did, and the processes that never did.
-func (r *newsRun) slowest(i int, delaysByVia *[newsViaCount][]float64) (worst newsPoint, via newsLearntVia, n newsNever) {
+func (r *newsRun) slowest(i int, delaysByVia *[newsViaCount][]float64) (worst newsPoint, via newsLearntVia, n newsLostChange) {
 	c := &r.plan.changes[i]
-	n = newsNever{Key: c.key, Change: c.stage.String(), AtSeconds: c.ackedAt.Seconds()}
+	n = newsLostChange{Key: c.key, Change: c.stage.String(), AtSeconds: c.ackedAt.Seconds()}
 	worst = newsPoint{At: n.AtSeconds, Change: n.Change}
 	for _, p := range r.processes {
 		if p.ctx.Err() != nil {
@@ -197,9 +197,9 @@
 	return worst, via, n
 }
 
-// set sorts the delays of the changes that all processes applied, and computes their percentiles and the number of
+// summarise sorts the delays of the changes that all processes applied, and computes their percentiles and the number of
 // late ones.
-func (t *newsDelays) set(l []float64) {
+func (t *newsDelays) summarise(l []float64) {
 	slices.Sort(l)
 	t.P50, t.P95, t.P99, t.P100 = newsQuantile(l, 0.5), newsQuantile(l, 0.95), newsQuantile(l, 0.99), newsQuantile(l, 1)
 	for _, s := range l {
