--- a/internal/measure/fault.go
+++ b/internal/measure/fault.go
@@ -10,7 +10,7 @@
 	"github.com/springrail/springrail/internal/standin"
 )
 
-// The share of VMs that each fault affects, as the measured goals define it.
+// The share of VMs that each fault affects, as the project's goals state it.
 const (
 	deathShare   = 0.10
 	stallShare   = 0.10
