--- a/internal/soak/cases.go
+++ b/internal/soak/cases.go
@@ -13,7 +13,7 @@
 	{
 		Settings: Settings{
 			Seed: 111, Seconds: 45, Gateways: 8, Stagers: 4, Domains: 2, EngineShare: 0.15,
-			Faults: []string{doCutOne, doKill, doGone, doRestart},
+			Faults: []string{doStoreCutOne, doKill, doRemoveRecord, doRestart},
 		},
 		Cause: "a record that was missing when a reader read a topic again kept its old offset, so followers ignored its deletion as already known",
 	},
--- a/internal/soak/checks.go
+++ b/internal/soak/checks.go
@@ -146,20 +146,20 @@
 	}
 	now := b.now()
 	r.reached = append(r.reached, address)
-	sound := b.faultFree(r) && b.noFault(now.Add(-settleTime), now, address)
-	b.checkLimit(r, id, instance, sound)
+	faultFree := b.faultFree(r) && b.noFault(now.Add(-settleTime), now, address)
+	b.checkLimit(r, id, instance, faultFree)
 	b.checkAnnouncements(r, id, instance)
 	if d, ok := b.departed[instance]; ok {
 		late := now.Sub(d.at)
 		b.counts["reached an upstream after it left"]++
 		if late > maxLeavingDelay {
-			b.violateUnless(!sound, "leaving", r.gateway.name, id, instance, "reached %s %.2f s after the store had accepted its departure (%s)", instance, late.Seconds(), d.reason)
+			b.violateUnless(!faultFree, "leaving", r.gateway.name, id, instance, "reached %s %.2f s after the store had accepted its departure (%s)", instance, late.Seconds(), d.reason)
 		}
 	}
 	if !r.closed.IsZero() {
 		b.counts["reached an upstream after its caller closed"]++
 		if late := now.Sub(r.closed); late > maxArrivalAfterClose {
-			b.violateUnless(!sound, "gone-client", r.gateway.name, id, "", "reached %s %.2f s after its caller had disconnected", instance, late.Seconds())
+			b.violateUnless(!faultFree, "gone-client", r.gateway.name, id, "", "reached %s %.2f s after its caller had disconnected", instance, late.Seconds())
 		}
 	}
 }
--- a/internal/soak/era.go
+++ b/internal/soak/era.go
@@ -46,7 +46,7 @@
 // restoreStore restores the store from a snapshot, after an outage or without one. In half of the cases a new
 // configuration is written first; then all records that were lost are written again.
 func (w *Fleet) restoreStore(ctx context.Context, s Step) {
-	defer w.history.BeginFault(storeTarget, doReturn)()
+	defer w.history.BeginFault(storeTarget, doStoreRestore)()
 	outage := time.Duration(s.Magnitude * float64(s.Duration))
 	if s.Selector%4 == 0 {
 		outage = 0
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -142,13 +142,13 @@
 func (w *Fleet) startProcess(ctx context.Context, i int, kind, text, ip string) (*Process, error) {
 	name := fmt.Sprintf("%s-%d", kind, i+1)
 	group := map[string]int{"gateway": 1, "stager": 2}[kind]
-	door := fmt.Sprintf("%s.4.%d:80%02d", w.net, i+1, group)
-	d, err := serveStoreEndpoint(ctx, w.store, door)
+	endpoint := fmt.Sprintf("%s.4.%d:80%02d", w.net, i+1, group)
+	d, err := serveStoreEndpoint(ctx, w.store, endpoint)
 	if err != nil {
 		return nil, err
 	}
 	file := filepath.Join(w.settings.LogDir, name+".toml")
-	all := fmt.Sprintf(text, name, w.domain(i), drainTime, door, ip, swapTime)
+	all := fmt.Sprintf(text, name, w.domain(i), drainTime, endpoint, ip, swapTime)
 	if err := os.WriteFile(file, []byte(all), 0o600); err != nil {
 		return nil, trace.Wrap(err)
 	}
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -32,17 +32,17 @@
 	switch s.Action {
 	case doPause, doKill, doTerm:
 		w.faultProcess(ctx, s)
-	case doDelay, doReset, doOneWay, doSilence:
+	case doLinkDelay, doLinkReset, doLinkOneWay, doLinkSilent:
 		w.faultLink(ctx, s)
-	case doDown, doMute, doSlow, doLossy:
+	case doStoreDown, doStoreSilent, doStoreSlow, doStoreLossy:
 		w.faultStore(ctx, s, "", w.processes())
-	case doForget:
+	case doStoreTruncate:
 		defer w.history.BeginFault(storeTarget, "forgot its history")()
 		w.store.TruncateHistory(operatorTopic)
 		w.store.TruncateHistory(serverTopic)
-	case doRefuse, doCutOne, doStoreRst:
+	case doStoreRefuse, doStoreCutOne, doStoreReset:
 		w.faultStoreEndpoints(ctx, s)
-	case doLeave, doGone, doCrash, doRestart:
+	case doLeave, doRemoveRecord, doCrash, doRestart:
 		w.departUpstream(ctx, s)
 	case doVersion:
 		w.publishVersion()
@@ -52,11 +52,11 @@
 		w.sendCrashingRequests(ctx, s)
 	case doLimit:
 		w.limitUpstream(ctx, s)
-	case doBusy:
+	case doPauseUpstream:
 		w.pauseEngine(ctx, s)
-	case doRest:
+	case doRetryAfter:
 		w.restUpstream(ctx, s)
-	case doReturn:
+	case doStoreRestore:
 		w.restoreStore(ctx, s)
 	}
 }
@@ -119,17 +119,17 @@
 	u.mu.Unlock()
 	defer w.history.BeginFault(u.address, s.Action)()
 	switch s.Action {
-	case doDelay:
+	case doLinkDelay:
 		l.SetDelay(time.Duration(s.Magnitude * float64(maxLinkDelay)))
 		kernel.Pause(ctx, s.Duration)
 		l.SetDelay(0)
-	case doReset:
+	case doLinkReset:
 		l.Reset()
-	case doOneWay:
+	case doLinkOneWay:
 		l.HoldAnswers(true)
 		kernel.Pause(ctx, s.Duration)
 		l.HoldAnswers(false)
-	case doSilence:
+	case doLinkSilent:
 		l.SetSilent(false)
 	}
 }
@@ -156,13 +156,13 @@
 		}
 	}
 	switch s.Action {
-	case doDown, doRefuse:
+	case doStoreDown, doStoreRefuse:
 		set(standin.KeyedFaults{Status: http.StatusServiceUnavailable}, 0)
-	case doMute:
+	case doStoreSilent:
 		set(standin.KeyedFaults{Silent: true}, 0)
-	case doSlow:
+	case doStoreSlow:
 		set(standin.KeyedFaults{DelayMs: int(s.Magnitude * float64(maxStoreDelay.Milliseconds()))}, 0)
-	case doLossy:
+	case doStoreLossy:
 		set(standin.KeyedFaults{}, 1+int32(s.Magnitude*maxLostPerTen))
 	}
 	kernel.Pause(ctx, s.Duration)
@@ -171,7 +171,7 @@
 
 // faultStoreEndpoints makes the store fail for some processes while it serves the others.
 func (w *Fleet) faultStoreEndpoints(ctx context.Context, s Step) {
-	if s.Action != doRefuse {
+	if s.Action != doStoreRefuse {
 		w.faultStoreEndpoint(ctx, s, w.pickGateway(s))
 		return
 	}
@@ -189,7 +189,7 @@
 // and new connections become silent.
 func (w *Fleet) faultStoreEndpoint(ctx context.Context, s Step, p *Process) {
 	defer w.history.BeginFault(p.name, s.Action)()
-	if s.Action == doStoreRst {
+	if s.Action == doStoreReset {
 		p.store.link.Reset()
 		return
 	}
@@ -217,7 +217,7 @@
 	defer u.busy.Unlock()
 	away := time.Duration(s.Selector % uint64(maxDowntime))
 	switch s.Action {
-	case doLeave, doGone:
+	case doLeave, doRemoveRecord:
 		u.Leave(ctx, s.Action == doLeave, away)
 	case doCrash:
 		u.Crash(ctx, away)
--- a/internal/soak/main.go
+++ b/internal/soak/main.go
@@ -90,7 +90,7 @@
 
 // faultChoices returns the sorted names of everything that can be drawn.
 func faultChoices() []string {
-	l := append(append(slices.Clone(faultNames), actNames...), doCrasher, doLimit, doBusy, doRest, doReturn)
+	l := append(append(slices.Clone(faultNames), actNames...), doCrasher, doLimit, doPauseUpstream, doRetryAfter, doStoreRestore)
 	slices.Sort(l)
 	return slices.Compact(l)
 }
@@ -106,7 +106,7 @@
 	}
 	length := time.Duration(f.Seconds) * time.Second
 	if f.Gateways < 1 || f.Stagers < 1 || f.Domains < 1 || f.Gateways < f.Domains || length < 2*quietTail || f.seeds < 1 {
-		return trace.BadParameter("want a gateway for each domain, a stager, a seed and %v at least", 2*quietTail)
+		return trace.BadParameter("need at least one gateway per domain, one domain, one stager, one seed and a run of %v", 2*quietTail)
 	}
 	return nil
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -8,47 +8,47 @@
 
 // What a step does: faults from outside, and what operators and upstreams do of themselves.
 const (
-	doPause    = "pause"
-	doKill     = "kill"
-	doTerm     = "term"
-	doDelay    = "link-delay"
-	doReset    = "link-reset"
-	doOneWay   = "link-one-way"
-	doSilence  = "link-silent"
-	doDown     = "store-down"
-	doMute     = "store-silent"
-	doSlow     = "store-slow"
-	doLossy    = "store-lossy"
-	doForget   = "store-forget"
-	doRefuse   = "store-refuse"
-	doCutOne   = "store-cut-one"
-	doStoreRst = "store-reset"
-	doLeave    = "leave"
-	doGone     = "gone"
-	doCrash    = "crash"
-	doRestart  = "restart"
-	doVersion  = "version"
-	doConfig   = "config"
-	doCrasher  = "crashing-request"
-	doLimit    = "limit"
-	doBusy     = "upstream-busy"
-	doRest     = "rest"
-	doReturn   = "store-return"
+	doPause         = "pause"
+	doKill          = "kill"
+	doTerm          = "term"
+	doLinkDelay     = "link-delay"
+	doLinkReset     = "link-reset"
+	doLinkOneWay    = "link-one-way"
+	doLinkSilent    = "link-silent"
+	doStoreDown     = "store-down"
+	doStoreSilent   = "store-silent"
+	doStoreSlow     = "store-slow"
+	doStoreLossy    = "store-lossy"
+	doStoreTruncate = "store-forget"
+	doStoreRefuse   = "store-refuse"
+	doStoreCutOne   = "store-cut-one"
+	doStoreReset    = "store-reset"
+	doLeave         = "leave"
+	doRemoveRecord  = "gone"
+	doCrash         = "crash"
+	doRestart       = "restart"
+	doVersion       = "version"
+	doConfig        = "config"
+	doCrasher       = "crashing-request"
+	doLimit         = "limit"
+	doPauseUpstream = "upstream-busy"
+	doRetryAfter    = "rest"
+	doStoreRestore  = "store-return"
 )
 
 // faultNames lists the faults that are drawn. A fault listed several times is drawn more often: those that can hide the
 // most defects are.
 var faultNames = []string{
-	doPause, doPause, doKill, doTerm, doTerm, doDelay, doReset, doOneWay, doSilence, doDown, doMute, doSlow, doLossy, doForget,
-	doRefuse, doRefuse, doCutOne, doCutOne, doCutOne, doStoreRst, doStoreRst, doStoreRst,
+	doPause, doPause, doKill, doTerm, doTerm, doLinkDelay, doLinkReset, doLinkOneWay, doLinkSilent, doStoreDown, doStoreSilent, doStoreSlow, doStoreLossy, doStoreTruncate,
+	doStoreRefuse, doStoreRefuse, doStoreCutOne, doStoreCutOne, doStoreCutOne, doStoreReset, doStoreReset, doStoreReset,
 }
 
 // actNames lists the operations of operators and upstreams that are drawn throughout the run.
-var actNames = []string{doLeave, doGone, doGone, doCrash, doRestart, doRestart, doVersion, doConfig}
+var actNames = []string{doLeave, doRemoveRecord, doRemoveRecord, doCrash, doRestart, doRestart, doVersion, doConfig}
 
 // recoveryNames lists the operations that are drawn around the end of a fault, because changes during the recovery of a
 // process are the most likely to be lost.
-var recoveryNames = []string{doGone, doGone, doGone, doGone, doLeave, doVersion, doConfig}
+var recoveryNames = []string{doRemoveRecord, doRemoveRecord, doRemoveRecord, doRemoveRecord, doLeave, doVersion, doConfig}
 
 // Step is one planned fault or operation.
 type Step struct {
@@ -104,8 +104,8 @@
 	p.drawCrashers(allowed)
 	p.drawLimits(allowed)
 	p.drawPauses(allowed)
-	p.drawRecurring(allowed, doRest, meanRestInterval, minRestDuration, maxRestDuration)
-	p.drawRecurring(allowed, doReturn, meanRestoreInterval, 0, maxRestoreOutage)
+	p.drawRecurring(allowed, doRetryAfter, meanRestInterval, minRestDuration, maxRestDuration)
+	p.drawRecurring(allowed, doStoreRestore, meanRestoreInterval, 0, maxRestoreOutage)
 	slices.SortStableFunc(p.steps, func(a, b Step) int { return int(a.At - b.At) })
 	return p.steps
 }
@@ -154,11 +154,11 @@
 // drawPauses draws when a healthy upstream sends nothing for a while. They are drawn after the limits, so that a seed's
 // other steps stay the same.
 func (p *planner) drawPauses(allowed []string) {
-	if len(keepAllowed([]string{doBusy}, allowed)) == 0 {
+	if len(keepAllowed([]string{doPauseUpstream}, allowed)) == 0 {
 		return
 	}
 	for at := p.between(0, 2*meanBusyInterval); at < p.end; at += p.between(0, 2*meanBusyInterval) {
-		p.add(at, doBusy, min(p.between(0, maxBusyDuration), p.end-at))
+		p.add(at, doPauseUpstream, min(p.between(0, maxBusyDuration), p.end-at))
 	}
 }
 
@@ -208,16 +208,16 @@
 	do := p.faults[p.random.IntN(len(p.faults))]
 	d, acts, late := p.between(200*time.Millisecond, maxFaultDuration), burstActs, burstTime
 	switch do {
-	case doCutOne:
+	case doStoreCutOne:
 		// The gateway notices the end of this fault only when its last attempt to reach the store has failed.
 		d, acts, late = storeCutDuration, 2*burstActs, 2*burstTime
-	case doStoreRst, doForget, doReset, doSilence:
+	case doStoreReset, doStoreTruncate, doLinkReset, doLinkSilent:
 		d = 0
 	}
 	if !p.add(at, do, d) {
 		return
 	}
-	if do == doCutOne && p.random.Float64() < secondFaultShare {
+	if do == doStoreCutOne && p.random.Float64() < secondFaultShare {
 		p.addNested(p.steps[len(p.steps)-1], keepAllowed(p.faults, []string{doKill, doTerm, doPause}))
 	}
 	for range acts {
--- a/internal/soak/rest_test.go
+++ b/internal/soak/rest_test.go
@@ -40,7 +40,7 @@
 		}
 	},
 		Entry("that kills its process", spanKilled, true), Entry("that suspends it", spanPaused, true), Entry("that terminates and restarts it", spanTerminated, true),
-		Entry("that cuts it off from the store", doCutOne, false))
+		Entry("that cuts it off from the store", doStoreCutOne, false))
 
 	It("report the third request of a gateway in a Retry-After period, and ignore requests in flight at its start and after its end", func() {
 		h.RecordRestRequest("1", "u", "3")
