--- a/internal/records/follow.go
+++ b/internal/records/follow.go
@@ -247,7 +247,7 @@
 	if f.sourceLostAt.IsZero() {
 		f.sourceLostAt = f.now()
 	}
-	if f.now().Sub(f.sourceLostAt) >= time.Duration(f.takeoversAhead())*takeoverStep {
+	if f.now().Sub(f.sourceLostAt) >= time.Duration(f.takeoverDelaySteps())*takeoverStep {
 		f.setGates(true)
 	}
 }
@@ -259,9 +259,9 @@
 	return min(max(0, len(preferred)-1), maxTakeoverRank)
 }
 
-// takeoversAhead returns the number of processes that get time to take over before this one: those before it, except
+// takeoverDelaySteps returns the number of processes that get time to take over before this one: those before it, except
 // for the failed source and those whose own requests to the store have failed.
-func (f *Follower) takeoversAhead() int {
+func (f *Follower) takeoverDelaySteps() int {
 	preferred, _ := Sources(f.domain, f.gateways(), f.self)
 	withoutStore := 0
 	for _, a := range preferred {
--- a/internal/records/follow_test.go
+++ b/internal/records/follow_test.go
@@ -56,18 +56,18 @@
 			now: func() time.Time { return now }, log: silentLogger, metrics: new(expvar.Map), hint: newSourceHint(time.Now),
 			avoidUntil: map[string]time.Time{}, followsThisUntil: map[string]time.Time{}, withoutStoreUntil: map[string]time.Time{},
 		}
-		Expect(f.takeoversAhead()).To(Equal(3), "the first of four is the source that has failed")
+		Expect(f.takeoverDelaySteps()).To(Equal(3), "the first of four is the source that has failed")
 		for _, a := range order[:3] {
 			f.withoutStoreUntil[a] = now.Add(withoutStoreFor)
 		}
-		Expect(f.takeoversAhead()).To(Equal(1))
+		Expect(f.takeoverDelaySteps()).To(Equal(1))
 		f.takeOver()
 		Expect(f.upstreamsGate.closed).NotTo(BeNil())
 		f.withoutStoreUntil[order[3]] = now.Add(withoutStoreFor)
 		f.takeOver()
 		Expect(f.upstreamsGate.closed).To(BeNil())
 		now = now.Add(withoutStoreFor)
-		Expect(f.takeoversAhead()).To(Equal(3))
+		Expect(f.takeoverDelaySteps()).To(Equal(3))
 	})
 })
 
--- a/internal/records/lease.go
+++ b/internal/records/lease.go
@@ -26,8 +26,8 @@
 	// requesterTTL is how long a lease request is named to other requesters. It is well beyond the 0.12 s of a snapshot
 	// on an idle link.
 	requesterTTL = 2 * time.Second
-	// maxRequesters bounds the requesters that are kept. If more start at the same time the first ones are named, as
-	// one of these reads.
+	// maxRequesters bounds the requesters that are kept. If more processes start at the same time, only the first ones
+	// are named to other requesters, as one of the first reads the snapshot.
 	maxRequesters = 16
 	// maxReadStall is how long a snapshot may make no progress before others take it over. The store's answers can take
 	// 0.3 s, and a link shared with weights may delay one by as much again.
--- a/internal/records/log.go
+++ b/internal/records/log.go
@@ -175,7 +175,7 @@
 // advance updates how far the topic has been read. The caller holds the lock.
 func (l *Log) advance(b Batch) {
 	if b.Next >= l.next && b.CaughtUpAt.After(l.caughtUpAt) {
-		// A time at which the store held nothing from a lower offset on also holds for a higher one.
+		// If the store held nothing from b.Next on at that time, it held nothing from a higher offset on either.
 		l.caughtUpAt = b.CaughtUpAt
 	}
 	l.next = max(l.next, b.Next)
--- a/internal/records/part.go
+++ b/internal/records/part.go
@@ -144,8 +144,9 @@
 	return l
 }
 
-// peers returns a function that lists the stagers of a failure domain whose upstreams hold weights, with the port of
-// this process. Such a stager has followed the records for some time, and the list of upstreams is enough to find it.
+// peers returns a function that lists the addresses of the other stagers of a failure domain: the hosts of upstreams that
+// hold weights and are not draining, each with this process's port. A stager whose upstream holds weights has followed
+// the records for some time, and it can be found from the list of upstreams alone.
 func peers(f *facts.Facts, d id.Domain, self string) func() []string {
 	selfHost, port, err := net.SplitHostPort(self)
 	if err != nil {
--- a/internal/records/reader.go
+++ b/internal/records/reader.go
@@ -152,7 +152,7 @@
 	r.needsSnapshot, r.failures = false, 0
 	noWait := r.noWait
 	if r.takingOver && !r.log.fresh() {
-		// The missed records may be large, and other processes that take over at the same time have missed them too.
+		// Without a lease, all processes that take over at the same time would read the missed records, which may be large.
 		if err := r.acquireLease(ctx, true); err != nil {
 			return false, err
 		}
@@ -164,7 +164,7 @@
 	a, err := r.store.Read(ctx, r.log.topic.Name, next, wait)
 	if err != nil {
 		r.noWait = false
-		if context.Cause(ctx) == errOvertaken { //nolint:errorlint // the cause is the value itself
+		if context.Cause(ctx) == errNewerRecordsRead { //nolint:errorlint // the cause is the value itself
 			r.countRequest("ended, as others have newer ones")
 			return false, nil
 		}
@@ -233,8 +233,8 @@
 }
 
 // maxWokenDelay bounds the transfer time of an answer that ended a wait at the store: its only record woke the reader,
-// so it was written just before. The time of the request alone would be 0.35 s too early on average, which would
-// shorten the period in which older versions may still serve.
+// so it was written just before. Taking the start of the request as the lower time bound instead would be 0.35 s too
+// early on average, which would shorten the period in which older versions may still serve.
 const maxWokenDelay = 200 * time.Millisecond
 
 // boundWokenRecord sets the lower time bound of the one record that ended a wait at the store. An answer that arrives
@@ -321,8 +321,8 @@
 	return nil
 }
 
-// errOvertaken cancels a waiting read when another process has read newer records.
-var errOvertaken = errors.New("another process has read newer records")
+// errNewerRecordsRead cancels a waiting read when another process has read newer records.
+var errNewerRecordsRead = errors.New("another process has read newer records")
 
 // readContext returns the context, its cancel function and the wait for a read. The store occasionally fails to wake a
 // waiting reader, so a read does not wait once another process has announced a later offset.
@@ -338,7 +338,7 @@
 	go func() {
 		select {
 		case <-updated:
-			stop(errOvertaken)
+			stop(errNewerRecordsRead)
 		case <-ctx.Done():
 		}
 	}()
--- a/internal/records/service.go
+++ b/internal/records/service.go
@@ -81,7 +81,7 @@
 	return max(0, remaining)
 }
 
-// hasChanges reports whether an answer carries more than ages.
+// hasChanges reports whether an answer carries records or a whole topic, and not just the topics' ages.
 func hasChanges(a *pb.FollowResponse) bool {
 	for _, t := range a.GetTopics() {
 		if t.GetWhole() || len(t.GetRecords()) > 0 {
