--- a/internal/throttle/known_limit.go
+++ b/internal/throttle/known_limit.go
@@ -4,11 +4,12 @@
 
 const (
 	// shareWhileSilent is the share of an upstream's limit that gateways divide among themselves while the process
-	// beside it is silent to them. That process may continue to issue permits to others for the whole limit: in a window
-	// of 4 s, 4 s of that plus the slots of 5 s at this share are one and a half times the limit.
+	// beside it is silent to them. That process may continue to issue permits for the whole limit to other gateways. In a
+	// window of 4 s, these permits (4 s of the limit) and the send slots of 5 s at this share (2 s of the limit) add up
+	// to one and a half times the limit.
 	shareWhileSilent = 0.4
-	// shareWithoutIssuer is that share where no process ever issues permits. It is below 1 because the slots of
-	// uncoordinated gateways coincide by chance.
+	// shareWithoutIssuer is the share of an upstream's limit that gateways divide among themselves if no process ever
+	// issues permits for the upstream. It is below 1 because the send slots of uncoordinated gateways coincide by chance.
 	shareWithoutIssuer = 0.7
 )
 
@@ -22,12 +23,13 @@
 	// announcedBy is the incarnation of the process beside the upstream that announced the limit; 0 if only responses
 	// did.
 	announcedBy uint64
-	// fromUpstream is true if that process learns the limit from the upstream itself, so that gateways need not notify
-	// it.
+	// fromUpstream is true if the process beside the upstream learns the limit from the upstream itself, so that gateways
+	// need not notify it.
 	fromUpstream bool
-	// estimate is a local estimate of the permits that the process can issue.
+	// estimate is a local estimate of the permits that the process beside the upstream can issue.
 	estimate bucket
-	// slots are this gateway's send slots while that process is silent; sharing is true while they are in use.
+	// slots are this gateway's send slots while the process beside the upstream is silent; sharing is true while they
+	// are in use.
 	slots   sendSlots
 	sharing bool
 	// sent counts requests since the limit was first learnt.
@@ -58,7 +60,7 @@
 			k.estimate.rate = max(announcement.Rate, minProbeRate)
 		}
 	case announcement.State == Unlimited, k.limited && k.announcedBy == announcement.Incarnation:
-		// A process that announced the limit and no longer does has announced its end in messages that were lost.
+		// If the process that announced the limit now announces nothing, its announcements of the limit's end were lost.
 		*k = KnownLimit{}
 	}
 }
@@ -112,7 +114,7 @@
 	return Limit{Rate: k.rate, KnownSince: k.knownSince, Permits: k.estimate.available(now), NextPermitIn: k.estimate.untilNext(now), Sent: k.sent}
 }
 
-// Shared returns the limit for a gateway that can't request permits and sends at the given rate of its own.
+// Shared returns the limit for a gateway that can't request permits and sends at the given rate, its share of the limit.
 func (k *KnownLimit) Shared(now time.Time, rate Rate, random func() float64) Limit {
 	if !k.sharing {
 		k.sharing, k.slots = true, newSendSlots(rate, now, random)
--- a/internal/throttle/limiter.go
+++ b/internal/throttle/limiter.go
@@ -20,11 +20,11 @@
 // if there is nothing to announce.
 type Announcement struct {
 	LimitInfo
-	// Incarnation identifies the lifetime of that process: after a restart it knows no limit.
+	// Incarnation identifies the lifetime of the announcing process: after a restart it knows no limit.
 	Incarnation uint64
 	// Permits is the fill level of the token bucket, with its fraction.
 	Permits float64
-	// FromUpstream is true if that process learns the limit from the upstream itself.
+	// FromUpstream is true if the announcing process learns the limit from the upstream itself.
 	FromUpstream bool
 }
 
@@ -100,7 +100,7 @@
 	case !l.fromUpstream:
 		l.setInfo(LimitInfo{State: Limited, Rate: r}, sourceGateway)
 	case l.info.State == Unlimited:
-		// That gateway has missed the end of the limit, or a response was delayed.
+		// The upstream has reported the end of its limit. The gateway missed that, or received a delayed response.
 		l.announceEndUntil = l.now().Add(endAnnouncedFor)
 	}
 }
