--- a/internal/placement/forecast.go
+++ b/internal/placement/forecast.go
@@ -34,8 +34,8 @@
 	Late bool
 }
 
-// advanceWithSends advances an upstream by a time in which a number of requests are sent to it.
-func (w *Forecast) advanceWithSends(c *Candidate, d time.Duration, sent int) {
+// advanceWithArrivals projects an upstream's load to a later time, with a number of requests sent to it until then.
+func (w *Forecast) advanceWithArrivals(c *Candidate, d time.Duration, sent int) {
 	if w.Advance != nil {
 		w.Advance(c, d)
 	}
@@ -130,7 +130,7 @@
 		}
 		y.options = append(y.options, option{Candidate: l[i], reported: &l[i], jitter: 1 - costJitter*r.Float64()})
 		o := &y.options[len(y.options)-1]
-		w.advanceWithSends(&o.Candidate, w.Horizon, 0)
+		w.advanceWithArrivals(&o.Candidate, w.Horizon, 0)
 		o.updateCost(w)
 		y.addToDomain(o)
 	}
@@ -258,7 +258,7 @@
 	}
 	p := batch{option: o, count: n, admitted: !o.outOfPermits() && w.admits(&o.Candidate, late)}
 	o.assigned += n
-	w.advanceWithSends(&o.Candidate, 0, n)
+	w.advanceWithArrivals(&o.Candidate, 0, n)
 	o.updateCost(w)
 	siftDown(h, 0)
 	return p
@@ -317,6 +317,6 @@
 // choice returns the upstream as expected half-way to the next report, without the request itself.
 func (p batch) choice(w *Forecast) Choice {
 	c := *p.option.reported
-	w.advanceWithSends(&c, w.Horizon/2, max(0, p.option.assigned-1)/2)
+	w.advanceWithArrivals(&c, w.Horizon/2, max(0, p.option.assigned-1)/2)
 	return Choice{Candidate: c, Predicted: w.PredictFirstEvent(&c), HasCapacity: p.admitted}
 }
--- a/internal/placement/path.go
+++ b/internal/placement/path.go
@@ -22,11 +22,12 @@
 type Path struct {
 	// newestEcho is the send time of the newest echoed probe: everything sent before it has arrived.
 	newestEcho time.Time
-	// oldestPending is the first known probe after that without an echo, and newestSent the newest one.
+	// oldestPending is the send time of the first known probe after newestEcho that has no echo yet, and newestSent that
+	// of the newest probe.
 	oldestPending, newestSent time.Time
 	// reportInterval is the usual time between two reports.
 	reportInterval time.Duration
-	// lastSlow is when the path was last seen not to be clear.
+	// lastSlow is when an echo was last received late or found overdue.
 	lastSlow time.Time
 }
 
--- a/internal/placement/predict.go
+++ b/internal/placement/predict.go
@@ -27,8 +27,8 @@
 	Running, Waiting int
 	// Backlog is the estimated number of prompt tokens queued there.
 	Backlog float64
-	// SpareTokens is the number of prompt tokens that the engine can read in addition to its backlog before the time
-	// that the figures are projected to; see LatencyModel.Advance.
+	// SpareTokens is the number of prompt tokens that the engine can read in addition to its backlog within the time by
+	// which LatencyModel.Advance has advanced these figures.
 	SpareTokens float64
 	// Fresh is true if Running and Waiting come from a recent report; otherwise they are estimated from this process's
 	// own requests.
--- a/internal/placement/tracker.go
+++ b/internal/placement/tracker.go
@@ -160,8 +160,8 @@
 	return u.report, true
 }
 
-// Report returns the report of a listed upstream, and whether it is fresh. If it is not, the result holds only the
-// newest known process lifetime there, which the list may not show yet.
+// Report returns the report of a listed upstream, and whether it is fresh. If it is not, only the Incarnation is set: the
+// newest known process lifetime at the upstream's address, which the list of upstreams may not show yet.
 func (t *Tracker) Report(i *facts.Instance) (LoadReport, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
