--- a/internal/decide/gateway.go
+++ b/internal/decide/gateway.go
@@ -73,8 +73,8 @@
 }
 
 const (
-	// demandInterval is the time between two sums of the offered load, and demandSamplesKept the number of sums that are
-	// kept: each stager reports them once a second, and the largest reported one counts.
+	// demandInterval is the time between two samples of the load offered to all gateways, and demandSamplesKept the
+	// number of samples that are kept. Each stager reports the load once a second, and the largest reported one counts.
 	demandInterval    = 200 * time.Millisecond
 	demandSamplesKept = 5
 )
--- a/internal/decide/result.go
+++ b/internal/decide/result.go
@@ -70,7 +70,7 @@
 	return min(maxWeight, minWeight+(1-minWeight)*(q.prompt+outputFactor*stride*float64(q.events))/mean)
 }
 
-// accounts are the accounts of a simulation.
+// accounts holds a simulation's earned and possible credit, overall and by time window, kind, failure domain and second.
 type accounts struct {
 	overall        account
 	windows        map[string]*account
--- a/internal/decide/variants.go
+++ b/internal/decide/variants.go
@@ -11,7 +11,7 @@
 // Variant is a variant of the decisions: the current code with one change.
 type Variant struct {
 	Name, Text string
-	// adjust changes the inputs of a choice.
+	// adjust changes a gateway's forecast or candidates before it chooses an upstream.
 	adjust func(d *simGateway, w *placement.Forecast, l []placement.Candidate)
 	// retryAfter replaces placement.RetryAfter.
 	retryAfter func(capacityIn, remaining time.Duration, r *rand.Rand) time.Duration
@@ -36,7 +36,7 @@
 		{Name: "no-admission", Text: "no request is refused while the pool has an upstream", adjust: noAdmission},
 		{Name: "no-first-tries-first", Text: "callers' retries count as first attempts", ignoreTimeLost: true},
 		{Name: "all-at-once", Text: "upstreams swap versions as soon as one is staged", swapAtOnce: true},
-		{Name: "retry-third", Text: "Retry-After is always a third of the remaining patience", retryAfter: retryThird},
+		{Name: "retry-third", Text: "Retry-After is always a third of the remaining patience", retryAfter: retryAfterThirdOfPatience},
 		{Name: "retry-spread", Text: "Retry-After is random between 0.9 and 1.9 s", retryAfter: retrySpread},
 		{Name: "aim-share-0.65", Text: "a prediction may use 0.65 of the latency target", adjust: aimShare(0.65)},
 		{Name: "aim-share-0.8", Text: "a prediction may use 0.8 of the latency target", adjust: aimShare(0.8)},
@@ -73,20 +73,20 @@
 	w.CanAdmit = nil
 }
 
-// currentAimShare is the share of the latency target that the current code lets a prediction use.
-const currentAimShare = 0.9
+// currentTargetShare is the share of the latency target that the current code lets a prediction use.
+const currentTargetShare = 0.9
 
 func aimShare(share float64) func(*simGateway, *placement.Forecast, []placement.Candidate) {
 	return func(d *simGateway, w *placement.Forecast, _ []placement.Candidate) {
 		m := placement.NewLatencyModel(d.sim.catalog.Services[pool].Engine)
-		aim := time.Duration(float64(d.sim.catalog.LatencyTarget(pool)) * share / currentAimShare)
+		aim := time.Duration(float64(d.sim.catalog.LatencyTarget(pool)) * share / currentTargetShare)
 		w.CanAdmit = func(c *placement.Candidate) bool { return placement.InTime(m.AdmissionLatency(c), 0, aim) }
 	}
 }
 
-// retryThird makes placement.RetryAfter return the longest wait that callers accept, a third of the remaining patience,
-// by passing it all of that.
-func retryThird(_, remaining time.Duration, r *rand.Rand) time.Duration {
+// retryAfterThirdOfPatience makes placement.RetryAfter return the longest wait that callers accept, a third of the
+// remaining patience, by passing the whole remaining patience as the time until capacity is expected.
+func retryAfterThirdOfPatience(_, remaining time.Duration, r *rand.Rand) time.Duration {
 	return placement.RetryAfter(remaining, remaining, r)
 }
 
--- a/internal/decide/version.go
+++ b/internal/decide/version.go
@@ -72,7 +72,7 @@
 	if !e.up || e.closed || e.held == 0 || e.staged <= e.held {
 		return
 	}
-	v, ok := e.swapView()
+	v, ok := e.swapInputs()
 	if !ok || p.variant.swapAtOnce {
 		e.closeForSwap(p.stagerFacts.ServableUntil(model, e.held, seconds(p.scenario.SwapWithin)))
 		return
@@ -89,8 +89,8 @@
 	e.swapTimer = p.after(min(wait, swapplan.PlanCheckInterval), e.planSwap)
 }
 
-// swapView returns the inputs of the swap plan.
-func (e *engine) swapView() (swapplan.Inputs, bool) {
+// swapInputs returns the inputs of the swap plan.
+func (e *engine) swapInputs() (swapplan.Inputs, bool) {
 	p := e.sim
 	within := seconds(p.scenario.SwapWithin)
 	until := p.stagerFacts.ServableUntil(model, e.held, within)
