--- a/internal/records/answer.go
+++ b/internal/records/answer.go
@@ -129,7 +129,8 @@
 		GapFrom:     id.Position(t.GetGapFrom()),
 	}
 	if n := id.Position(t.GetReturnedNext()); n > 0 {
-		// A source that does not report its offset before the outage may have read all of this by then.
+		// Without n, the offset that the source had read up to before the outage, it is unknown which records the outage
+		// dates: the source may have read all of these before.
 		b.OutageEnd = outageEnd{at: timeBefore(answeredAt, t.ReturnedMs), next: n}
 	}
 	for _, r := range t.GetRecords() {
--- a/internal/records/log.go
+++ b/internal/records/log.go
@@ -131,7 +131,7 @@
 			l.setTimeBounds(&r)
 		}
 		if b.FromStore && !b.Snapshot {
-			// Record by record, nothing was skipped before this one.
+			// Other than a snapshot, a read returns every record, so nothing was skipped before this one.
 			r.UnreadSince = r.After
 		}
 		l.mergeRecord(r, b)
--- a/internal/records/part.go
+++ b/internal/records/part.go
@@ -40,7 +40,8 @@
 	// the store.
 	StartWait time.Duration `toml:"start_wait"`
 	// Seeds are addresses of some processes of any failure domain. Only their hosts are used, with the port of this
-	// process. Processes that start together learn of each other from the seeds; if no seed answers they start without.
+	// process. Processes that start together learn of each other from the seeds; if no seed answers, they start without
+	// knowing each other.
 	Seeds []string `toml:"seeds"`
 }
 
--- a/internal/records/publish_time_test.go
+++ b/internal/records/publish_time_test.go
@@ -37,8 +37,8 @@
 	madeAfter     time.Time
 }
 
-// dateModel simulates a store and processes in virtual time. The processes learn when versions were published by every
-// means there is.
+// dateModel simulates a store and processes in virtual time. The processes learn when versions were published from
+// reads of the store, from each other and from reports.
 type dateModel struct {
 	t   *rapid.T
 	now time.Time
--- a/internal/records/service.go
+++ b/internal/records/service.go
@@ -40,7 +40,7 @@
 	defer timer.Stop()
 	receivedAt := clock.Now()
 	for timedOut := false; ; {
-		// Taken before the ages in the answer, so that time spent on these is never counted as transfer time.
+		// Measured before the ages in the answer are computed, so that the time this takes is never counted as transfer time.
 		held := clock.Now().Sub(receivedAt)
 		a, changed, err := s.collectChanges(q)
 		if err != nil {
