--- a/internal/placement/forecast.go
+++ b/internal/placement/forecast.go
@@ -204,7 +204,7 @@
 // maxAssignSteps bounds the number of batches, and so the work per choice.
 const maxAssignSteps = 64
 
-// domainLoad is the requests of one failure domain that are to be assigned.
+// domainLoad counts the requests of one failure domain that are to be assigned.
 type domainLoad struct {
 	domain          id.Domain
 	total, assigned int
--- a/internal/placement/limit.go
+++ b/internal/placement/limit.go
@@ -73,8 +73,8 @@
 	u.dropEndedLimit()
 }
 
-// staysUnlimited reports whether the upstream has no limit and the given information does not introduce one. Otherwise
-// it makes sure that limit is set.
+// staysUnlimited reports whether the upstream has no limit and the given information does not introduce one. If it
+// introduces one, the limit field is initialised, so that it is not nil where false is returned.
 func (u *upstream) staysUnlimited(info throttle.LimitInfo) bool {
 	if u.limit == nil && info.State == throttle.Limited {
 		u.limit = &throttle.KnownLimit{}
--- a/internal/placement/path.go
+++ b/internal/placement/path.go
@@ -80,17 +80,19 @@
 	PathUnproven PathState = iota
 	// PathClear is a path with a recent echo and without a lasting queue.
 	PathClear
-	// PathQueued is a path on which traffic has queued for longer recently, or with an overdue echo.
+	// PathQueued is a path with an overdue echo, or with one that was late recently, which shows a lasting queue.
 	PathQueued
 )
 
-// MaxDelay returns the longest network delay to allow for a request sent now, where its version may be used for within
-// after its successor was published. On a clear path that is the clear round trip plus the growth of a queue since the
-// last echo. Behind a queue no delay is known to be enough: the next configuration, of 0.6 MB, takes 10 s at 0.5 Mbit/s,
-// and an idle narrow link looks clear, so that nothing is sent until a version's lifetime after the last sign of the
-// queue. Not covered is a queue that appears suddenly between the last echo and its missing successor (0.7 s with a
-// report each 0.2 s) and holds more than the version's remaining lifetime; in its last seconds the path is therefore
-// probed again before each send (Candidate.NeedsProbe).
+// MaxDelay returns the longest network delay to allow for a request sent now; within is the time for which a version may
+// still be used after its successor was published. On a clear path the delay is the clear round trip plus the growth of
+// a queue since the last echo. Behind a queue no delay is known to be enough: the next configuration, of 0.6 MB, takes
+// 10 s at 0.5 Mbit/s, and an idle narrow link looks clear. The whole of within is returned there until that time has
+// passed since the last sign of the queue, so that nothing is sent.
+//
+// This does not cover a queue that appears suddenly between the last echo and the next one, which is then missing (0.7 s
+// with a report each 0.2 s), and that delays requests for longer than the version's remaining lifetime. In the last
+// seconds of that the path is therefore probed again before each send (Candidate.NeedsProbe).
 func (w *Path) MaxDelay(now time.Time, within time.Duration) (time.Duration, PathState) {
 	switch {
 	case w.newestEcho.IsZero():
