--- a/internal/throttle/bucket.go
+++ b/internal/throttle/bucket.go
@@ -58,5 +58,5 @@
 	return maxWait
 }
 
-// maxWait is longer than any caller waits.
+// maxWait bounds the result of untilNext, which a low rate would raise beyond a Duration. No caller waits as long.
 const maxWait = time.Duration(math.MaxInt64 / 2)
--- a/internal/throttle/limiter.go
+++ b/internal/throttle/limiter.go
@@ -151,7 +151,7 @@
 	return l.issued
 }
 
-// Announce returns the announcement to gateways. The end of a limit is announced for a time.
+// Announce returns the announcement to gateways. The end of a limit is announced for the time endAnnouncedFor.
 func (l *Limiter) Announce() Announcement {
 	l.mu.Lock()
 	defer l.mu.Unlock()
