--- a/internal/decide/clock.go
+++ b/internal/decide/clock.go
@@ -62,7 +62,7 @@
 	return c.start.Add(c.elapsed)
 }
 
-// since converts a time of day from now to the virtual time since the start.
+// since converts a time of day, as returned by now, to the virtual time since the start.
 func (c *clock) since(t time.Time) time.Duration {
 	return t.Sub(c.start)
 }
