--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,5 +1,6 @@
 // Package follow connects an agent to an entry of its failure domain: it sends heartbeats and receives the
-// configuration, the VM list and permits to swap a model.
+// configuration, the VM list and permits to swap a model. An agent is the springrail process on an upstream's VM, and an
+// entry is a process that accepts callers' requests.
 package follow
 
 import (
