--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,5 +1,5 @@
-// Package dispatch sends a caller's request to the agent of an upstream and classifies the outcome: answered
-// completely, proven not run, or unknown.
+// Package dispatch sends a caller's request to the agent of an upstream, the springrail process on the upstream's VM, and
+// classifies the outcome: answered completely, proven not run, or unknown.
 package dispatch
 
 import (
@@ -129,8 +129,8 @@
 	return trace.Wrap(lastErr)
 }
 
-// mayRetry reports whether a failed request may be retried: it must be proven not to have run or be repeatable, and
-// the caller must not have received any part of a response.
+// mayRetry reports whether a failed request may be retried: it must be proven not to have run or be safe to run twice,
+// and the caller must not have received any part of a response.
 func (d *Dispatcher) mayRetry(ctx context.Context, r *Request, t *attempt, err error) bool {
 	if t.answerStarted || ctx.Err() != nil || errors.Is(err, ErrCallerGone) {
 		return false
