--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -63,8 +63,8 @@
 		return t.handleBreak("the upstream broke off in its answer")
 	}
 	if f.gateway.dialect.PromisesNotRun(e.StatusCode) {
-		// The status says that the request was not run, but the header does not prove it. The gateway cannot vouch for
-		// that, so it does not forward the status.
+		// The status promises the caller that the request was not run, but the header does not prove it, so the gateway
+		// does not forward the status.
 		t.answerComplete = true
 		return &attemptError{text: "the upstream answered " + strconv.Itoa(e.StatusCode) + " without proof"}
 	}
--- a/internal/gateway/balancer.go
+++ b/internal/gateway/balancer.go
@@ -20,8 +20,8 @@
 	SwapWithin time.Duration
 	Now        func() time.Time
 	Random     func() *rand.Rand
-	// AdjustOutlook changes the inputs of a choice, and RetryAfter replaces placement.RetryAfter. Both are set only in
-	// comparisons of load-balancing strategies.
+	// AdjustOutlook changes the forecast or the candidates before an upstream is chosen, and RetryAfter replaces
+	// placement.RetryAfter. Both are set only in comparisons of load-balancing strategies.
 	AdjustOutlook func(w *placement.Forecast, l []placement.Candidate)
 	RetryAfter    func(room, left time.Duration) time.Duration
 }
@@ -91,7 +91,7 @@
 		elapsed = 0
 	}
 	aim := q.Catalog.LatencyTarget(q.Pool)
-	w := d.outlook(q, m, e, l, elapsed, aim)
+	w := d.newForecast(q, m, e, l, elapsed, aim)
 	if d.AdjustOutlook != nil {
 		d.AdjustOutlook(w, l)
 	}
@@ -135,8 +135,8 @@
 	return &Refusal{Reason: reason, RetryAfter: placement.SpreadRetryAfter(dueIn, remaining, d.Random())}
 }
 
-// outlook predicts the load until the next reports. Their interval is taken to be twice their mean age.
-func (d *Balancer) outlook(q *Query, m placement.LatencyModel, e *catalog.Engine, l []placement.Candidate, elapsed, aim time.Duration) *placement.Forecast {
+// newForecast returns a forecast of the load until the next reports. Their interval is taken to be twice their mean age.
+func (d *Balancer) newForecast(q *Query, m placement.LatencyModel, e *catalog.Engine, l []placement.Candidate, elapsed, aim time.Duration) *placement.Forecast {
 	late := !placement.InTime(0, elapsed, aim)
 	if q.Attempts == 0 && len(q.PermitDenied) == 0 {
 		d.Load.Offers.Record(q.Pool, late)
@@ -159,16 +159,16 @@
 	// minTransitTime is the minimum assumed for the transit to the upstream, on a link that is shared with weight
 	// chunks; see placement.Path for what is added.
 	minTransitTime = 400 * time.Millisecond
-	// burstMargin is the margin of a version whose grace period is already ending when a still newer version is
-	// published, for the burstWindow after that publication: chunks of the newest version may start to queue on the
-	// link. Six chunks requested at once take 1.9 s of a link of 0.61 Mbit/s. A request that is in transit for longer
-	// than the margin begins late.
+	// burstMargin is the minimum remaining grace period for sending a request to a version whose grace period had already
+	// begun when a still newer version was published. It applies for the burstWindow after that publication, in which
+	// chunks of the newest version may start to queue on the link. Six chunks requested at once take 1.9 s of a link of
+	// 0.61 Mbit/s. A request that is in transit for longer than the margin begins too late.
 	burstMargin = 2 * time.Second
 	burstWindow = 2 * time.Second
 	// probeWindow is the last part of a version's grace period, in which the link to an upstream is probed before each
-	// send. It is capped at half of that time, in which links without delay measurements are not used anyway. A sudden
-	// queue on a link shows in timestamps only 0.7 s later and may delay requests for longer than the time that is
-	// left.
+	// send. It is at most half of the grace period; links without delay measurements are not used in that half anyway. A
+	// sudden queue on a link shows in timestamps only 0.7 s later and may delay requests for longer than the time that
+	// is left.
 	probeWindow = 3 * time.Second
 	// resumeMargin is the margin for a stream that is continued on an older version: few upstreams still serve it
 	// then, and one that took over such streams delayed one of them by 2.4 s.
--- a/internal/gateway/hedge.go
+++ b/internal/gateway/hedge.go
@@ -27,7 +27,7 @@
 // hedge is a hedged attempt at another upstream while the first one is silent. Neither attempt is given up before
 // the other has made progress, as the other upstream may be full or silent as well.
 type hedge struct {
-	// request is the request as this attempt alone sees it, and attempt is nil until an upstream has been chosen.
+	// request is the hedge's own copy of the request state, and attempt is nil until an upstream has been chosen.
 	request *callerRequest
 	attempt *attempt
 	// attemptsBefore is the number of attempts at the request before this one.
--- a/internal/gateway/permit.go
+++ b/internal/gateway/permit.go
@@ -18,8 +18,8 @@
 	// Acquire requests a permit. It returns the permit's number, or 0 if none is available, and whether a reply
 	// arrived before the context ended.
 	Acquire func(ctx context.Context, address string, incarnation id.Incarnation) (permit uint64, answered bool)
-	// ReportLimit reports a rate limit that a response stated, and ReportLimitEnd the permit of a request whose
-	// response stated none.
+	// ReportLimit reports the rate limit that a response stated. ReportLimitEnd reports that the response to the
+	// request with the given permit stated no limit.
 	ReportLimit    func(address string, incarnation id.Incarnation, r throttle.Rate)
 	ReportLimitEnd func(address string, incarnation id.Incarnation, permit uint64)
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -52,7 +52,8 @@
 	allNotRun bool
 	events    eventSplitter
 	revision  id.Revision
-	// The basis of the decisions, for the log line; retryAfter is the Retry-After of a refusal.
+	// The predicted and actual time to the first event, the upstream and the basis of its choice, for the log line;
+	// retryAfter is the Retry-After of a refusal.
 	predictedFirst  time.Duration
 	timeToFirst     time.Duration
 	upstreamAddress string
--- a/internal/gateway/versionend.go
+++ b/internal/gateway/versionend.go
@@ -11,9 +11,9 @@
 // cancellation.
 const giveUpMargin = 200 * time.Millisecond
 
-// versionCheckInterval is how often the end of a version's grace period is checked while a request waits: a
-// publication time that was too late may be corrected, and a newer version that is learnt of late may leave no
-// time. A check takes 1 us with 256 versions in memory.
+// versionCheckInterval is how often the end of a version's grace period is checked while a request waits, as it may move
+// forward: the known publication time of the newer version may be corrected to an earlier one, and a newer version may
+// become known only when no time is left. A check takes 1 us with 256 versions in memory.
 const versionCheckInterval = giveUpMargin
 
 // beginDeadline returns when a request that has not begun must be cancelled at an upstream because its version may
