--- a/internal/records/service.go
+++ b/internal/records/service.go
@@ -40,7 +40,7 @@
 	defer timer.Stop()
 	receivedAt := clock.Now()
 	for timedOut := false; ; {
-		// Taken before the ages in the answer, so that time spent on these is never counted as transfer time.
+		// Measured before the ages in the answer are computed, so that the time this takes is never counted as transfer time.
 		held := clock.Now().Sub(receivedAt)
 		a, changed, err := s.collectChanges(q)
 		if err != nil {
@@ -81,7 +81,7 @@
 	return max(0, remaining)
 }
 
-// hasChanges reports whether an answer carries more than ages.
+// hasChanges reports whether an answer carries records or a whole topic, and not just the topics' ages.
 func hasChanges(a *pb.FollowResponse) bool {
 	for _, t := range a.GetTopics() {
 		if t.GetWhole() || len(t.GetRecords()) > 0 {
