--- a/internal/facts/announcement.go
+++ b/internal/facts/announcement.go
@@ -184,9 +184,9 @@
 	return true
 }
 
-// effective returns an entry as decisions use it: an instance is leaving if a stager or the instance itself has
-// announced it, whatever the local copy of the list contains. The caller holds the lock.
-func (f *Facts) effective(i *Instance) *Instance {
+// withAnnouncedLeaving returns an entry of the list, marked as leaving if a stager or the instance itself has announced
+// that the instance leaves, whatever the local copy of the list contains. The caller holds the lock.
+func (f *Facts) withAnnouncedLeaving(i *Instance) *Instance {
 	s := f.announcements[i.ID]
 	announced := s != nil && s.address == i.Address && s.hasLeft(i.ListPosition, i.Born)
 	if i.Leaving || !announced && !f.isLeaving(i.ID, i.Born) {
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -190,7 +190,7 @@
 	}
 	l := make([]*Instance, 0, len(holder))
 	for _, i := range holder {
-		l = append(l, f.effective(i))
+		l = append(l, f.withAnnouncedLeaving(i))
 	}
 	// The iteration order of a map is random whatever the seed, and simulations in virtual time must be reproducible. A
 	// gateway makes its own random choice among the upstreams.
--- a/internal/facts/wanted.go
+++ b/internal/facts/wanted.go
@@ -16,8 +16,8 @@
 	PublishTime dating.TimeBounds
 	// LearntAt is when this process learnt of the version.
 	LearntAt time.Time
-	// gap marks a placeholder for the versions up to this one that this process has not read. Its publish time is that
-	// of the first of them; that of the last one would be too late.
+	// gap marks a placeholder for all versions up to this one whose records this process has not read. Its publish time
+	// is that of the earliest of them, because the time within which older versions must be replaced counts from that.
 	gap bool
 	// observed is true of a version without a record: an upstream serves it, or the origin has it.
 	observed bool
@@ -57,18 +57,18 @@
 	}
 	now := f.now()
 	if last.Revision+1 < n.Revision {
-		// Other versions may have been published in between, the first of them at any time since the last reading.
+		// The versions in between may have been published too, the earliest of them right after CompleteUntil.
 		l = appendVersion(l, Wanted{Revision: n.Revision - 1, PublishTime: dating.TimeBounds{After: n.CompleteUntil}, LearntAt: now, gap: true})
 	}
 	d, o := dating.TimeBounds{KnownAt: now}.Merge(n.PublishTime)
-	f.wanted[m], _ = withdrawContradicted(appendVersion(l, Wanted{Revision: n.Revision, PublishTime: d, LearntAt: now}))
+	f.wanted[m], _ = withdrawContradictedTimes(appendVersion(l, Wanted{Revision: n.Revision, PublishTime: d, LearntAt: now}))
 	f.notify()
 	return PublicationResult{New: true, DateOutcome: o}
 }
 
 // ObserveRevision notes a version that must have been published, because an upstream serves it or the origin has it as
-// the newest. It returns false if that version or a newer one was known. The newest record may be of an older version,
-// if it was written late, and a starting process reads nothing else.
+// the newest. It returns false if that version or a newer one was known. A process that starts reads only the newest
+// record, which is of an older version if it was written late.
 func (f *Facts) ObserveRevision(m id.Model, r id.Revision) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -81,7 +81,7 @@
 	if last.Revision+1 < r {
 		l = appendVersion(l, Wanted{Revision: r - 1, LearntAt: now, gap: true})
 	}
-	f.wanted[m], _ = withdrawContradicted(appendVersion(l, Wanted{Revision: r, PublishTime: dating.TimeBounds{KnownAt: now}, LearntAt: now, observed: true}))
+	f.wanted[m], _ = withdrawContradictedTimes(appendVersion(l, Wanted{Revision: r, PublishTime: dating.TimeBounds{KnownAt: now}, LearntAt: now, observed: true}))
 	f.notify()
 	return true
 }
@@ -117,7 +117,7 @@
 	}
 	l := slices.Clone(f.wanted[m])
 	l[i].PublishTime = merged
-	l, withdrawn := withdrawContradicted(l)
+	l, withdrawn := withdrawContradictedTimes(l)
 	f.wanted[m] = l
 	if withdrawn || !merged.After.Equal(old.After) {
 		f.notify()
@@ -125,10 +125,10 @@
 	return o
 }
 
-// withdrawContradicted removes publish times that are later than when some process knew of a later version. Reports
+// withdrawContradictedTimes removes publish times that are later than when some process knew of a later version. Reports
 // contain the newest version only, so a wrong time of the version before it would otherwise persist. It returns whether
 // it removed one; the slice must not be shared.
-func withdrawContradicted(l []Wanted) (_ []Wanted, withdrawn bool) {
+func withdrawContradictedTimes(l []Wanted) (_ []Wanted, withdrawn bool) {
 	for i := len(l) - 2; i >= 0; i-- {
 		d, o := l[i].PublishTime.Merge(dating.TimeBounds{KnownAt: l[i+1].PublishTime.KnownAt})
 		l[i].PublishTime, withdrawn = d, withdrawn || o == dating.Withdrawn
@@ -147,9 +147,9 @@
 const (
 	// firstRevision is the revision of a model before operators publish another one.
 	firstRevision = 1
-	// maxVersions limits the published versions that are kept for a model; only those of the last seconds matter. With
-	// 16, 21 versions published in 8 s let requests begin 2.3 s late on a version whose end had been forgotten. One
-	// version every 0.1 s makes 200.
+	// maxVersions limits the published versions that are kept for a model; only those of the last seconds matter. A
+	// limit of 16 was too low: after 21 versions in 8 s, the entry that ended an older version had been dropped, and
+	// requests still began on that version 2.3 s after its end. At one version every 0.1 s, 200 have to be kept.
 	maxVersions = 256
 )
 
@@ -182,8 +182,9 @@
 	return 0
 }
 
-// OvertakenAt returns when this process learnt of the newest version of a model, if an earlier version newer than r had
-// been published before it, so that the time of r was already running out. Otherwise it returns zero.
+// OvertakenAt returns when this process learnt of the newest version of a model, if at least two known versions are newer
+// than r. The time within which r must be replaced was then already running, since the first of them. Otherwise it
+// returns zero.
 func (f *Facts) OvertakenAt(m id.Model, r id.Revision) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
