--- a/internal/reports/reporter.go
+++ b/internal/reports/reporter.go
@@ -245,7 +245,7 @@
 	if s.stampedAt.Before(readAt) {
 		// The stamp is echoed only if it arrived before the report's data was read. If this process was suspended
 		// between the two, the gateway would count the report's ages from too late a time.
-		report = withEcho(report, s.stamp, r.now().Sub(s.stampedAt))
+		report = appendEcho(report, s.stamp, r.now().Sub(s.stampedAt))
 	}
 	if _, err := r.conn.WriteToUDP(report, s.addr); err != nil {
 		r.vars.Add("send_failed", 1)
--- a/internal/reports/stager_state.go
+++ b/internal/reports/stager_state.go
@@ -22,11 +22,11 @@
 	incarnation, previousIncarnation, lastNumber uint64
 	// lastReportAt is when the newest report arrived.
 	lastReportAt time.Time
-	// gateways is the stager's number of subscribers, and demand is the load that callers offer to them until
-	// demandUntil.
-	gateways    int
-	demand      placement.Demand
-	demandUntil time.Time
+	// gatewayCount is the number of gateways that subscribe to the stager's reports, and demand is the load that callers
+	// offer to them; demand is valid until demandUntil.
+	gatewayCount int
+	demand       placement.Demand
+	demandUntil  time.Time
 	// nextLimitSend is when a rate limit that the stager's reports lack may be sent to it again.
 	nextLimitSend time.Time
 }
--- a/internal/reports/stamp.go
+++ b/internal/reports/stamp.go
@@ -43,9 +43,9 @@
 // echoField and echoHeldField are the field numbers of UpstreamReport.echo and UpstreamReport.echo_held_ms.
 const echoField, echoHeldField = 21, 22
 
-// withEcho appends the receiver's stamp, and how long the stager has held it, to a report that is encoded once for all
+// appendEcho appends the receiver's stamp, and how long the stager has held it, to a report that is encoded once for all
 // receivers.
-func withEcho(report []byte, stamp uint64, heldFor time.Duration) []byte {
+func appendEcho(report []byte, stamp uint64, heldFor time.Duration) []byte {
 	if stamp == 0 {
 		return report
 	}
--- a/internal/reports/subscribe.go
+++ b/internal/reports/subscribe.go
@@ -31,8 +31,8 @@
 )
 
 // waitForRenewal waits until the subscriptions are due for renewal: after subscribeInterval, or earlier if the upstream
-// list, the load or the need for every report changes. Otherwise, after a restart of all gateways, none would know the
-// others' load for two seconds.
+// list, the load or the need for every report changes. Without the early renewals, gateways that all restart at the same
+// time would not know each other's load for two seconds.
 func (s *Subscriber) waitForRenewal(ctx context.Context) {
 	changed := s.facts.Changed()
 	sentTotal, sentEvery := s.demandMeter.Total(), s.wantsEveryReport()
--- a/internal/reports/subscriber.go
+++ b/internal/reports/subscriber.go
@@ -102,8 +102,8 @@
 	// OnCrashNews is called with crash news from other gateways; it must be set before Run.
 	OnCrashNews func(n *pb.CrashNews)
 
-	// refusedDateLogs limits the rate of log lines about refused publish times.
-	refusedDateLogs *rate.Limiter
+	// refusedTimeLogs limits the rate of log lines about refused publish times.
+	refusedTimeLogs *rate.Limiter
 	// newsLimit limits the rate of crash news that this process sends.
 	newsLimit *rate.Limiter
 
@@ -120,7 +120,7 @@
 	s := &Subscriber{
 		conn: c, port: port, domain: d, facts: f, tracker: placement.NewTracker(now), now: now, log: l, vars: new(expvar.Map),
 		stagers: map[string]*stagerState{}, stamps: newStamps(now()),
-		refusedDateLogs: rate.NewLimiter(refusedDateLogsPerSecond, 1), newsLimit: rate.NewLimiter(newsPerSecond, newsBurst),
+		refusedTimeLogs: rate.NewLimiter(refusedTimeLogsPerSecond, 1), newsLimit: rate.NewLimiter(newsPerSecond, newsBurst),
 		OnCrashNews:    func(*pb.CrashNews) {},
 		demandMeter:    placement.NewDemandMeter(now),
 		onSent:         func(id.Domain, int) {},
@@ -169,7 +169,7 @@
 	defer s.mu.Unlock()
 	largest := 0
 	for _, h := range s.stagers {
-		largest = max(largest, h.gateways)
+		largest = max(largest, h.gatewayCount)
 	}
 	if largest == 0 {
 		return defaultGateways
@@ -271,12 +271,12 @@
 	}
 }
 
-// refusedDateLogsPerSecond limits the log lines about refused publish times; each report of each stager may cause one.
-const refusedDateLogsPerSecond = 0.2
+// refusedTimeLogsPerSecond limits the log lines about refused publish times; each report of each stager may cause one.
+const refusedTimeLogsPerSecond = 0.2
 
-// mergePublishTime merges a report's publish time of a version into the local one. The ages in the report count from
-// when it was made. The report's arrival bounds the time by which the version was known, and madeAfter, if it is known,
-// the time at which it had not been published yet.
+// mergePublishTime merges a report's publish time of a version into the local one. The report contains ages, which count
+// from when it was made: not later than its arrival, which gives a time at which the version was already known, and not
+// earlier than madeAfter (zero if unknown), which gives a time at which it had not been published yet.
 func (s *Subscriber) mergePublishTime(upstream string, n *pb.NamedWeights, madeAfter time.Time) {
 	if n == nil {
 		return
@@ -292,7 +292,7 @@
 	if o == dating.Refused {
 		s.vars.Add("dates_refused", 1)
 	}
-	if o == dating.Kept || (o == dating.Refused && !s.refusedDateLogs.AllowN(s.now(), 1)) {
+	if o == dating.Kept || (o == dating.Refused && !s.refusedTimeLogs.AllowN(s.now(), 1)) {
 		return
 	}
 	s.log.Info().Str("model", n.GetModel()).Uint64("revision", n.GetRevision()).Stringer("date", o).Time("named_after", d.After).
@@ -337,7 +337,7 @@
 	if !h.accept(r.GetIncarnation(), r.GetNumber(), now) {
 		return false
 	}
-	h.gateways = int(r.GetSubscribers())
+	h.gatewayCount = int(r.GetSubscribers())
 	if len(r.GetDemand()) > 0 {
 		h.demand, h.demandUntil = demandFromProto(r.GetDemand()), now.Add(demandTTL)
 	}
