--- a/internal/quarantine/crash_detector.go
+++ b/internal/quarantine/crash_detector.go
@@ -12,8 +12,8 @@
 	// of a process that ends break within a few ms.
 	gatherTime = 20 * time.Millisecond
 	// probeTimeout limits one check whether a process has ended, and probeRetryDelay is the delay before the next check
-	// if no answer came. On a link with a queue of 1 s, the longest that doesn't count as slowed twice over, the third
-	// check has its answer 1 s after the end.
+	// if no answer came. On a link with a queueing delay of 1 s, the longest unless two faults slow the link at
+	// once, the third check receives its answer 1 s after the process has ended.
 	probeTimeout    = 500 * time.Millisecond
 	probeRetryDelay = 400 * time.Millisecond
 	maxProbes       = 3
@@ -59,7 +59,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.broken[s] == nil {
-		w.after(gatherTime, func() { w.conclude(s) })
+		w.after(gatherTime, func() { w.startProbing(s) })
 	}
 	w.broken[s] = append(w.broken[s], p)
 }
@@ -74,8 +74,8 @@
 	w.abandoned = append(w.abandoned, abandonedRequest{incarnation: s, request: p, expiresAt: w.now().Add(abandonedTTL)})
 }
 
-// conclude collects the requests of an incarnation and starts to check whether its process has ended.
-func (w *CrashDetector) conclude(s Incarnation) {
+// startProbing collects the requests of an incarnation and starts to check whether its process has ended.
+func (w *CrashDetector) startProbing(s Incarnation) {
 	w.mu.Lock()
 	e := Crash{Incarnation: s, Requests: w.broken[s]}
 	delete(w.broken, s)
--- a/internal/quarantine/evidence.go
+++ b/internal/quarantine/evidence.go
@@ -69,7 +69,7 @@
 const (
 	// Pass means that there is no evidence against the request.
 	Pass Verdict = iota
-	// Alone means that two or more upstream processes have crashed under the request. A gateway sends one repeat at a
+	// Alone means that two or more upstream processes have crashed under the request. A gateway sends one retry at a
 	// time, to one upstream. Whether that one crashes too distinguishes a request that crashes upstreams from one that
 	// was merely in flight there.
 	Alone
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -1,6 +1,6 @@
 // Package quarantine detects requests that crash the upstreams which run them, and keeps them from being sent again.
 //
-// A request that crashes its upstream is repeated at any gateway and with a new ID each time. It is recognised by being
+// A request that crashes its upstream is retried at any gateway and with a new ID each time. It is recognised by being
 // in flight each time that an upstream's process ends. The detection itself uses no network: gateways pass in the
 // crashes that they see and those that others report.
 package quarantine
@@ -18,12 +18,12 @@
 // organisation's, takes 2^64 attempts.
 const fingerprintBytes = 16
 
-// Fingerprint identifies a request across its repeats: requests with the same method, path, query, organisation and body
+// Fingerprint identifies a request across its retries: requests with the same method, path, query, organisation and body
 // have the same one.
 type Fingerprint [fingerprintBytes]byte
 
 // Of returns the fingerprint of a request. Target is the path and query as the caller sent them, and body the buffered
-// part of the body. It excludes headers, because IDs and deadlines differ between repeats, and the host, because routes
+// part of the body. It excludes headers, because IDs and deadlines differ between retries, and the host, because routes
 // of several hosts lead to the same upstreams.
 func Of(method, target string, o id.Organisation, body []byte) Fingerprint {
 	h := sha256.New()
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -16,7 +16,7 @@
 }
 
 var _ = Describe("a fingerprint", func() {
-	It("is the same for repeats, and differs if any part differs or moves into the next part", func() {
+	It("is the same for retries, and differs if any part differs or moves into the next part", func() {
 		of := map[Fingerprint]string{}
 		for name, f := range map[string]Fingerprint{
 			"itself": Of("POST", "/a?b", "gym", []byte("x")), "method": Of("GET", "/a?b", "gym", []byte("x")),
