--- a/internal/stager/load.go
+++ b/internal/stager/load.go
@@ -70,7 +70,7 @@
 			return nil
 		}
 		if len(fresh) == 0 {
-			waitFor(ctx, changed, reconcileInterval)
+			waitForSignal(ctx, changed, reconcileInterval)
 		}
 	}
 	return trace.Wrap(ctx.Err())
--- a/internal/stager/plan.go
+++ b/internal/stager/plan.go
@@ -36,12 +36,13 @@
 		}
 	}
 	v.Rank, v.Size = rendezvous.Rank(g.rolloutID(), vms, s.dependencies.Self.VM), len(vms)
-	v.BridgeOnly = s.need(g, &v) == swapplan.BridgesGap
+	v.BridgeOnly = s.remainingNeed(g, &v) == swapplan.BridgesGap
 	return v, true
 }
 
-// need returns whether a version is still needed; the newest always is.
-func (s *Stager) need(g *targetVersion, v *swapplan.Inputs) swapplan.Need {
+// remainingNeed returns what a version is still needed for if a newer one is being transferred; the newest version is
+// always needed.
+func (s *Stager) remainingNeed(g *targetVersion, v *swapplan.Inputs) swapplan.Need {
 	n := g.successor.Load()
 	if n == nil {
 		return swapplan.Needed
@@ -70,7 +71,7 @@
 			return
 		}
 		wait := swapplan.LoadAt(v).Sub(s.now())
-		unneeded := s.need(g, &v) == swapplan.Unneeded
+		unneeded := s.remainingNeed(g, &v) == swapplan.Unneeded
 		if wait <= 0 && !unneeded {
 			return
 		}
--- a/internal/stager/work.go
+++ b/internal/stager/work.go
@@ -60,7 +60,7 @@
 		changed := s.facts.Changed()
 		g, ok := s.findTarget()
 		if !ok {
-			waitFor(ctx, changed, reconcileInterval)
+			waitForSignal(ctx, changed, reconcileInterval)
 			continue
 		}
 		if _, up := s.upstreamState(); !up {
@@ -81,7 +81,8 @@
 	}
 }
 
-func waitFor(ctx context.Context, changed <-chan struct{}, timeout time.Duration) {
+// waitForSignal waits until the channel is closed, the timeout has passed or the context ends.
+func waitForSignal(ctx context.Context, changed <-chan struct{}, timeout time.Duration) {
 	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
@@ -231,8 +232,8 @@
 }
 
 // fetchManifest fetches a version's manifest from the origin. If the publication time of the version is unknown, it
-// requests the newest manifest instead: a record of an older version that was written late may hide a newer version,
-// which no upstream serves any more after a power failure.
+// requests the newest manifest instead: the newest record may be of an older version, if it was written late, and after a
+// power failure no upstream serves the newer version, which would show that it has been published.
 func (s *Stager) fetchManifest(ctx context.Context, g *targetVersion) (*pb.Manifest, error) {
 	r := g.wanted.Revision
 	if g.wanted.PublishTime.After.IsZero() && !s.isSuperseded(g) {
