--- a/internal/transfer/download.go
+++ b/internal/transfer/download.go
@@ -167,11 +167,11 @@
 	}
 	if d.holding.Complete() {
 		d.setReason("")
-		d.event(kernel.EventVersionComplete, "")
+		d.addEvent(kernel.EventVersionComplete, "")
 	}
 }
 
-func (d *Download) event(k kernel.EventKind, detail string) {
+func (d *Download) addEvent(k kernel.EventKind, detail string) {
 	d.events.Add(kernel.Event{
 		Kind: k, Rollout: id.Rollout(d.rollout.GetId()), Organisation: id.Organisation(d.rollout.GetOrganisation()),
 		Detail: detail,
--- a/internal/transfer/draw.go
+++ b/internal/transfer/draw.go
@@ -75,7 +75,7 @@
 	d.originBytes.Add(got.OriginBytes)
 	valid := err == nil && d.storeChunk(c, got.Data, "the origin")
 	if valid {
-		d.event(kernel.EventOriginFetched, fmt.Sprintf("chunk %d", c))
+		d.addEvent(kernel.EventOriginFetched, fmt.Sprintf("chunk %d", c))
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/transfer/fetch.go
+++ b/internal/transfer/fetch.go
@@ -216,7 +216,7 @@
 	_, err := d.holding.Add(c, data)
 	if err != nil {
 		d.stats.corrupt.Add(1)
-		d.event(kernel.EventChunkRejected, fmt.Sprintf("chunk %d from %s", c, from))
+		d.addEvent(kernel.EventChunkRejected, fmt.Sprintf("chunk %d from %s", c, from))
 		d.log.Warn().Err(err).Str("from", from).Msg("discarded a corrupt chunk")
 		return false
 	}
@@ -256,7 +256,7 @@
 	if ctx.Err() != nil {
 		return false
 	}
-	d.event(kernel.EventManifestVerified, "")
+	d.addEvent(kernel.EventManifestVerified, "")
 	return true
 }
 
@@ -268,7 +268,7 @@
 		err = d.holding.SetManifest(got.Data)
 	}
 	if errors.Is(err, ErrCorrupt) {
-		d.event(kernel.EventChunkRejected, "manifest from the origin")
+		d.addEvent(kernel.EventChunkRejected, "manifest from the origin")
 		d.setReason("the origin serves another manifest than the rollout pins")
 		return
 	}
--- a/internal/transfer/part.go
+++ b/internal/transfer/part.go
@@ -228,7 +228,7 @@
 func (m *Manager) stopDownload(name id.Rollout, d *runningDownload) {
 	d.stop()
 	delete(m.downloads, name)
-	d.event(kernel.EventRolloutDropped, "")
+	d.addEvent(kernel.EventRolloutDropped, "")
 	r := m.follower.State().Rollout(name)
 	if r.GetState() == pb.RolloutState_ROLLOUT_STATE_SUPERSEDED {
 		m.holdings.MarkEvictable(name)
@@ -246,6 +246,6 @@
 	ctx, stop := context.WithCancel(ctx)
 	d := &runningDownload{Download: NewDownload(m.dependencies(), r, h, m.transport(r)), stop: stop}
 	m.downloads[id.Rollout(r.GetId())] = d
-	d.event(kernel.EventRolloutAdded, "")
+	d.addEvent(kernel.EventRolloutAdded, "")
 	go d.Run(ctx)
 }
--- a/internal/transfer/serve.go
+++ b/internal/transfer/serve.go
@@ -102,7 +102,8 @@
 	}
 }
 
-// manifest is a long poll for the manifest, so that it spreads through the swarm without polling delays.
+// manifest serves the manifest of a rollout. It answers as a long poll once the manifest has arrived, so that manifests
+// spread through the swarm without polling delays.
 func (u *Uploads) manifest(w http.ResponseWriter, r *http.Request) {
 	h := u.holdings.Find(id.Rollout(r.PathValue("rollout")))
 	if h == nil {
