--- a/internal/dating/dating.go
+++ b/internal/dating/dating.go
@@ -54,14 +54,14 @@
 
 // The outcomes of Merge.
 const (
-	// Kept means that the local date stands, or that still none is known.
+	// Kept means that the local lower bound stays in use, or that neither process knows one.
 	Kept Outcome = iota
-	// Taken means that the remote date was adopted because none was known.
+	// Taken means that the remote lower bound was adopted because no local one was known.
 	Taken
-	// Refused means that the remote date contradicts the time at which the event was known.
+	// Refused means that the remote lower bound is later than a time at which some process knew of the event.
 	Refused
-	// Withdrawn means that the local date contradicted the time at which the event was known and was removed; a remote
-	// one may have replaced it.
+	// Withdrawn means that the local lower bound was removed, because it is later than a time at which some process knew
+	// of the event; a remote one may have replaced it.
 	Withdrawn
 )
 
@@ -72,40 +72,41 @@
 	return outcomeNames[o]
 }
 
-// Merge merges the bounds that another process sent. A known date is only replaced, by an earlier one, if it is shown to
-// be wrong: a bound that is merely earlier is also correct but less precise. If no valid date remains, none is known.
+// Merge merges the bounds that another process sent. A local lower bound is only replaced, by an earlier one, if it is
+// shown to be wrong: one that is merely earlier is also correct but less precise. If neither lower bound is valid, the
+// result has none.
 func (b TimeBounds) Merge(o TimeBounds) (TimeBounds, Outcome) {
 	knownAt := earliest(b.KnownAt, o.KnownAt)
 	remote := TimeBounds{After: o.After, KnownAt: knownAt, Source: o.Source}
 	local := TimeBounds{After: b.After, KnownAt: knownAt, Source: b.Source}
 	switch {
-	case local.hasDate() && !local.contradicted():
+	case local.hasLowerBound() && !local.contradicted():
 		if remote.contradicted() {
 			return local, Refused
 		}
 		return local, Kept
-	case remote.hasDate() && !remote.contradicted():
-		if local.hasDate() {
+	case remote.hasLowerBound() && !remote.contradicted():
+		if local.hasLowerBound() {
 			return remote, Withdrawn
 		}
 		return remote, Taken
-	case local.hasDate():
+	case local.hasLowerBound():
 		return TimeBounds{KnownAt: knownAt}, Withdrawn
-	case remote.hasDate():
+	case remote.hasLowerBound():
 		return TimeBounds{KnownAt: knownAt}, Refused
 	default:
 		return TimeBounds{KnownAt: knownAt}, Kept
 	}
 }
 
-// hasDate reports whether a date is known.
-func (b TimeBounds) hasDate() bool {
+// hasLowerBound reports whether a lower bound is known.
+func (b TimeBounds) hasLowerBound() bool {
 	return !b.After.IsZero()
 }
 
-// contradicted reports whether some process knew of the event before the date.
+// contradicted reports whether some process knew of the event before the lower bound.
 func (b TimeBounds) contradicted() bool {
-	return b.hasDate() && !b.KnownAt.IsZero() && b.After.After(b.KnownAt)
+	return b.hasLowerBound() && !b.KnownAt.IsZero() && b.After.After(b.KnownAt)
 }
 
 // earliest returns the earlier of two times; zero means none.
--- a/internal/dating/dating_test.go
+++ b/internal/dating/dating_test.go
@@ -55,7 +55,7 @@
 			for range rapid.IntRange(1, 12).Draw(t, "merges") {
 				o := TimeBounds{After: at(moment.Draw(t, "after")), KnownAt: at(moment.Draw(t, "known at"))}
 				n, _ := b.Merge(o)
-				if b.hasDate() && n.hasDate() && n.After.After(b.After) {
+				if b.hasLowerBound() && n.hasLowerBound() && n.After.After(b.After) {
 					t.Fatalf("%v became %v", b, n)
 				}
 				if n.contradicted() {
