--- a/internal/swapplan/plan.go
+++ b/internal/swapplan/plan.go
@@ -11,8 +11,8 @@
 	StagedAt time.Time
 	// ServableUntil is when the version that the upstream serves may no longer take new requests.
 	ServableUntil time.Time
-	// OlderServableUntil is the same for the older versions that other upstreams of the domain serve, or zero if there
-	// are none.
+	// OlderServableUntil is when the older versions that other upstreams of the domain serve may no longer take new
+	// requests, or zero if there are none.
 	OlderServableUntil time.Time
 	// Rank is the upstream's position among the Size upstreams of its domain, from 0.
 	Rank, Size int
@@ -52,7 +52,7 @@
 }
 
 // minShareForPace is the share of a version's chunks that must be available before their pace predicts the rest: the
-// first chunks wait for the origin and for news of them.
+// first chunks wait for the origin and for announcements that neighbours hold them.
 const minShareForPace = 0.25
 
 // ExpectedAt returns when the transfer of a version is expected to be complete: by its own pace or, before that is
