--- a/internal/operatorapi/authority.go
+++ b/internal/operatorapi/authority.go
@@ -40,9 +40,9 @@
 	return p
 }
 
-// subjects returns, for each procedure, the organisation that a request concerns. A procedure without an entry is rejected,
-// so that a new one can't be called before its access rule is defined.
-var subjects = map[string]func(m any) (id.Organisation, bool){
+// organisationByProcedure holds, for each procedure, a function that returns the organisation that a request concerns. A
+// procedure without an entry is rejected, so that a new one can't be called before its access rule is defined.
+var organisationByProcedure = map[string]func(m any) (id.Organisation, bool){
 	rpcs.OperatorServicePutOrganisationProcedure: func(m any) (id.Organisation, bool) {
 		r, ok := m.(*pb.PutOrganisationRequest)
 		return id.Organisation(r.GetOrganisation().GetId()), ok
@@ -108,7 +108,7 @@
 // authorise checks that a principal may send this request to the procedure. Where it may not, the error is ErrNotFound, so that
 // the response doesn't reveal whether the object exists.
 func (a *AuthInterceptor) authorise(p principal, procedure string, message any) error {
-	subject := subjects[procedure]
+	subject := organisationByProcedure[procedure]
 	if subject == nil {
 		return ErrNotFound
 	}
@@ -133,10 +133,10 @@
 	return func(ctx context.Context, r connect.AnyRequest) (connect.AnyResponse, error) {
 		p, err := a.authenticate(r.Header().Get("Authorization"))
 		if err != nil {
-			return nil, asConnect(err)
+			return nil, toConnectError(err)
 		}
 		if err := a.authorise(p, r.Spec().Procedure, r.Any()); err != nil {
-			return nil, asConnect(err)
+			return nil, toConnectError(err)
 		}
 		return next(context.WithValue(ctx, principalKey{}, p), r)
 	}
@@ -152,7 +152,7 @@
 	return func(ctx context.Context, c connect.StreamingHandlerConn) error {
 		p, err := a.authenticate(c.RequestHeader().Get("Authorization"))
 		if err != nil {
-			return asConnect(err)
+			return toConnectError(err)
 		}
 		return next(context.WithValue(ctx, principalKey{}, p), &checkedConn{StreamingHandlerConn: c, interceptor: a, caller: p})
 	}
@@ -171,7 +171,7 @@
 		return err
 	}
 	if err := c.interceptor.authorise(c.caller, c.Spec().Procedure, m); err != nil {
-		return asConnect(err)
+		return toConnectError(err)
 	}
 	return nil
 }
--- a/internal/operatorapi/part.go
+++ b/internal/operatorapi/part.go
@@ -134,8 +134,8 @@
 // maxMessage is the maximum size of a request in bytes.
 const maxMessage = 1 << 20
 
-// asConnect converts an error to a connect error with the code that clients handle it by.
-func asConnect(err error) error {
+// toConnectError converts an error to a connect error with the code that clients handle it by.
+func toConnectError(err error) error {
 	var already *connect.Error
 	switch {
 	case err == nil || errors.As(err, &already):
--- a/internal/operatorapi/service.go
+++ b/internal/operatorapi/service.go
@@ -60,7 +60,7 @@
 	_, err := s.submit(ctx, c)
 	if err != nil {
 		s.addEvent(kernel.EventChangeApplied, c, err.Error())
-		return asConnect(err)
+		return toConnectError(err)
 	}
 	s.addEvent(kernel.EventChangeApplied, c, "accepted")
 	return nil
@@ -94,7 +94,7 @@
 func (s *Service) GetOrganisation(_ context.Context, r *pb.GetOrganisationRequest) (*pb.GetOrganisationResponse, error) {
 	o := s.state().Organisation(id.Organisation(r.GetOrganisation()))
 	if o == nil {
-		return nil, asConnect(ErrNotFound)
+		return nil, toConnectError(ErrNotFound)
 	}
 	return &pb.GetOrganisationResponse{Organisation: o}, nil
 }
@@ -188,7 +188,7 @@
 func (s *Service) findRollout(organisation, name string) (*pb.Rollout, error) {
 	r := s.state().Rollout(id.Rollout(name))
 	if r == nil || r.GetOrganisation() != organisation {
-		return nil, asConnect(ErrNotFound)
+		return nil, toConnectError(ErrNotFound)
 	}
 	return r, nil
 }
@@ -336,7 +336,7 @@
 func (s *Service) GetChange(_ context.Context, r *pb.GetChangeRequest) (*pb.GetChangeResponse, error) {
 	o := s.state().Outcome(id.Organisation(r.GetOrganisation()), id.Change(r.GetChangeId()))
 	if o == nil {
-		return nil, asConnect(ErrNotFound)
+		return nil, toConnectError(ErrNotFound)
 	}
 	return &pb.GetChangeResponse{Outcome: o}, nil
 }
