--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -72,7 +72,7 @@
 	o := t.owners[t.self]
 	v := id.VM(s.GetVm().GetId())
 	known := o.statuses[v]
-	if known != nil && !known.gone && !newer(s, known.status) {
+	if known != nil && !known.gone && !isNewer(s, known.status) {
 		known.receivedAt = t.now()
 		return
 	}
@@ -81,8 +81,8 @@
 	t.notify()
 }
 
-// newer reports whether a is newer than b, of the same VM: a later incarnation, or a higher sequence number in the same one.
-func newer(a, b *pb.VMStatus) bool {
+// isNewer reports whether a is isNewer than b, of the same VM: a later incarnation, or a higher sequence number in the same one.
+func isNewer(a, b *pb.VMStatus) bool {
 	if a.GetIncarnation() != b.GetIncarnation() {
 		return a.GetIncarnation() > b.GetIncarnation()
 	}
@@ -223,7 +223,7 @@
 			continue
 		}
 		for name, h := range o.statuses {
-			if b := newest[name]; b == nil || newer(h.status, b.status) || (b.gone && !newer(b.status, h.status)) {
+			if b := newest[name]; b == nil || isNewer(h.status, b.status) || (b.gone && !isNewer(b.status, h.status)) {
 				newest[name] = h
 			}
 		}
