--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -130,7 +130,7 @@
 		c.Services[s.Name] = s
 	}
 	for _, r := range routes {
-		h := normalHost(r.Host)
+		h := normaliseHost(r.Host)
 		c.byHost[h] = append(c.byHost[h], r)
 		for _, p := range r.Shares {
 			if shortest, ok := c.latencyTargets[p.Pool]; r.LatencyTarget > 0 && (!ok || r.LatencyTarget < shortest) {
@@ -149,8 +149,8 @@
 	return c
 }
 
-// normalHost removes the port from a host name and lower-cases it.
-func normalHost(host string) string {
+// normaliseHost removes the port from a host name and lower-cases it.
+func normaliseHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
 	}
@@ -159,7 +159,7 @@
 
 // Match returns the route with the longest prefix for a host and path, or nil.
 func (c *Catalog) Match(host, path string) *Route {
-	for _, r := range c.byHost[normalHost(host)] {
+	for _, r := range c.byHost[normaliseHost(host)] {
 		if strings.HasPrefix(path, r.PathPrefix) {
 			return r
 		}
