--- a/internal/swarm/lane.go
+++ b/internal/swarm/lane.go
@@ -136,8 +136,8 @@
 }
 
 // MayFetchFromOrigin reports whether the VM of a rank may fetch from a lane whose last new chunk was seen at the given
-// time. Rank 0 may at once; each higher rank waits for one more takeover delay. Ranks beyond the budget never may: with
-// one member list, the origin sends each chunk at most as often as the budget has copies.
+// time. Rank 0 may at once; each higher rank waits for one more takeover delay. Ranks beyond the budget never may: as
+// long as all VMs have the same member list, the origin sends each chunk at most as often as the budget has copies.
 func MayFetchFromOrigin(rank int, copies float64, lastNew time.Time, takeoverDelay time.Duration, now time.Time) bool {
 	if rank < 0 || rank >= max(1, int(copies)) {
 		return false
--- a/internal/swarm/pick.go
+++ b/internal/swarm/pick.go
@@ -181,8 +181,8 @@
 )
 
 // PickStalledChunk returns a chunk of the lane that neighbours have held for long without this VM receiving it: the link
-// of the VM that fetched it may be slow while the origin's is free. Rank 0 holds what it fetched unless it has restarted
-// since; it then waits as long as rank 1.
+// of the VM that fetched it may be slow while the origin's is free. The VM of rank 0 usually fetched the lane's chunks itself
+// and lacks one only after a restart; it then waits as long as the VM of rank 1.
 func PickStalledChunk(v *View, l Lanes, lane, rank int) (id.Chunk, bool) {
 	var next id.Chunk
 	ok := false
