--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -16,7 +16,7 @@
 
 // readInterval is the maximum age of the last reading of the system's boot-time clock, in time that is not suspended. For up
 // to this time after a resume, decisions may be made as if there had been no suspension, and no VM counts as being in contact
-// with others. A reading takes 0.3 us (BenchmarkNow), so that readings take at most 0.02% of a processor.
+// with others. A reading takes 0.3 us, so that readings take at most 0.02% of a processor.
 const readInterval = 2 * time.Millisecond
 
 // Clock is a monotonic clock that includes suspensions. It is safe for concurrent use.
