--- a/internal/spread/turn.go
+++ b/internal/spread/turn.go
@@ -21,7 +21,7 @@
 )
 
 // SwapPermits grants and tracks the permits of VMs to swap to a rollout's version. All VMs of a failure domain request a
-// rollout's permits from the same entry, so that two concurrent requests cannot both be granted as the first.
+// rollout's permits from the same entry. Two entries could otherwise each grant a permit and together exceed the limit.
 type SwapPermits struct {
 	share    float64
 	state    func() *config.State
