--- a/internal/upstream/activator.go
+++ b/internal/upstream/activator.go
@@ -30,30 +30,30 @@
 	live   *LiveVersions
 	log    *log.Logger
 	events *kernel.EventRing
-	// engineState and load call the engine; replicas, config, acquireTurn and report call other parts of the agent.
-	engineState func(ctx context.Context) (engine.State, error)
-	load        func(ctx context.Context, o engine.Order) error
-	replicas    func() []transfer.Replica
-	config      func() *config.State
-	acquireTurn func(ctx context.Context, r id.Rollout) bool
-	report      func(change func(s *pb.VMStatus))
-	localURL    string
+	// engineState and load call the engine; replicas, config, requestPermit and report call other parts of the agent.
+	engineState   func(ctx context.Context) (engine.State, error)
+	load          func(ctx context.Context, o engine.Order) error
+	replicas      func() []transfer.Replica
+	config        func() *config.State
+	requestPermit func(ctx context.Context, r id.Rollout) bool
+	report        func(change func(s *pb.VMStatus))
+	localURL      string
 
 	lastReported *pb.VMStatus
 	// swapping holds the rollouts from shortly before their load is ordered until the engine reports them as ready. They count
 	// as out of service even if the load fails, so that a version that can't be loaded stops the rollout on further VMs.
 	swapping map[id.Rollout]bool
-	// pendingTurns holds the rollouts for which a turn to swap has been requested; turnResults delivers the results.
-	pendingTurns map[id.Rollout]bool
-	turnResults  chan turnResult
+	// pendingPermits holds the rollouts for which a swap permit has been requested; permitResults delivers the results.
+	pendingPermits map[id.Rollout]bool
+	permitResults  chan permitResult
 	// failedLoads counts the load orders of a rollout since it was last ready, and retryAt is the earliest time of the next
 	// one.
 	failedLoads map[id.Rollout]int
 	retryAt     map[id.Rollout]time.Time
 }
 
-// turnResult tells whether a rollout's turn, the permission to swap on this VM, was granted.
-type turnResult struct {
+// permitResult tells whether the permit to swap to a rollout's version on this VM was granted.
+type permitResult struct {
 	rollout id.Rollout
 	granted bool
 }
@@ -61,12 +61,12 @@
 // NewActivator returns an activator. Its function fields have to be set before use.
 func NewActivator(l *LiveVersions, g *log.Logger, e *kernel.EventRing) *Activator {
 	return &Activator{
-		live: l, log: g, events: e, swapping: map[id.Rollout]bool{}, pendingTurns: map[id.Rollout]bool{},
-		failedLoads: map[id.Rollout]int{}, retryAt: map[id.Rollout]time.Time{}, turnResults: make(chan turnResult, 16),
+		live: l, log: g, events: e, swapping: map[id.Rollout]bool{}, pendingPermits: map[id.Rollout]bool{},
+		failedLoads: map[id.Rollout]int{}, retryAt: map[id.Rollout]time.Time{}, permitResults: make(chan permitResult, 16),
 	}
 }
 
-// Reconcile reads the engine's state, requests turns for the loads that are due and reports changes.
+// Reconcile reads the engine's state, requests swap permits for the loads that are due and reports changes.
 func (a *Activator) Reconcile(ctx context.Context) {
 	state, err := a.engineState(ctx)
 	up := err == nil
@@ -74,7 +74,7 @@
 	replicas := a.replicas()
 	for _, r := range replicas {
 		if up && a.isLoadDue(state, r) {
-			a.requestTurn(ctx, id.Rollout(r.Rollout.GetId()))
+			a.acquirePermit(ctx, id.Rollout(r.Rollout.GetId()))
 		}
 	}
 	a.reportStatus(state, up, replicas)
@@ -131,24 +131,24 @@
 	})
 }
 
-// requestTurn requests a rollout's turn to swap in the background, unless a request is pending.
-func (a *Activator) requestTurn(ctx context.Context, r id.Rollout) {
-	if a.pendingTurns[r] {
+// acquirePermit requests a rollout's swap permit in the background, unless a request is pending.
+func (a *Activator) acquirePermit(ctx context.Context, r id.Rollout) {
+	if a.pendingPermits[r] {
 		return
 	}
-	a.pendingTurns[r] = true
+	a.pendingPermits[r] = true
 	go func() {
-		ok := a.acquireTurn(ctx, r)
+		ok := a.requestPermit(ctx, r)
 		select {
-		case a.turnResults <- turnResult{rollout: r, granted: ok}:
+		case a.permitResults <- permitResult{rollout: r, granted: ok}:
 		case <-ctx.Done():
 		}
 	}()
 }
 
-// HandleTurn swaps to a rollout's version if its turn was granted and the load is still due.
-func (a *Activator) HandleTurn(ctx context.Context, t turnResult) {
-	delete(a.pendingTurns, t.rollout)
+// HandleTurn swaps to a rollout's version if its swap permit was granted and the load is still due.
+func (a *Activator) HandleTurn(ctx context.Context, t permitResult) {
+	delete(a.pendingPermits, t.rollout)
 	state, err := a.engineState(ctx)
 	if !t.granted || err != nil {
 		return
--- a/internal/upstream/part.go
+++ b/internal/upstream/part.go
@@ -79,7 +79,7 @@
 	}
 	a := NewActivator(live, h.Log, h.Events)
 	a.engineState, a.load, a.replicas, a.config = client.State, client.Load, m.Replicas, f.State
-	a.acquireTurn, a.report, a.localURL = f.RequestSwapPermit, f.UpdateStatus, "http://"+l.Addr().String()
+	a.requestPermit, a.report, a.localURL = f.RequestSwapPermit, f.UpdateStatus, "http://"+l.Addr().String()
 	p.activator = a
 	r := h.Part(rpc.PartName).(*rpc.Server)
 	r.Handle(springrailv1connect.NewUpstreamServiceHandler(p.RequestHandler))
@@ -97,7 +97,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case t := <-p.activator.turnResults:
+		case t := <-p.activator.permitResults:
 			p.activator.HandleTurn(ctx, t)
 		case <-time.After(p.settings.Poll):
 		}
