--- a/gen/springrail/v1/springrailv1connect/internal.connect.go
+++ b/gen/springrail/v1/springrailv1connect/internal.connect.go
@@ -55,11 +55,11 @@
 
 // ConfigServiceClient is a client for the springrail.v1.ConfigService service.
 type ConfigServiceClient interface {
-	// Sync takes a heartbeat and returns configuration once there is something new, or at the deadline.
+	// Sync receives a heartbeat and returns configuration as soon as there is something new, or at the deadline.
 	Sync(context.Context, *v1.SyncRequest) (*v1.SyncResponse, error)
-	// AskTurn gives a VM its turn to swap its engine, or answers without one at the deadline.
+	// AskTurn waits until the VM is granted a permit to swap the version of its engine, or until the long poll times out.
 	AskTurn(context.Context, *v1.AskTurnRequest) (*v1.AskTurnResponse, error)
-	// Exchange swaps the statuses that one entry has and the other lacks.
+	// Exchange returns the VM statuses that the caller, another entry, lacks.
 	Exchange(context.Context, *v1.ExchangeRequest) (*v1.ExchangeResponse, error)
 }
 
@@ -131,11 +131,11 @@
 
 // ConfigServiceHandler is an implementation of the springrail.v1.ConfigService service.
 type ConfigServiceHandler interface {
-	// Sync takes a heartbeat and returns configuration once there is something new, or at the deadline.
+	// Sync receives a heartbeat and returns configuration as soon as there is something new, or at the deadline.
 	Sync(context.Context, *v1.SyncRequest) (*v1.SyncResponse, error)
-	// AskTurn gives a VM its turn to swap its engine, or answers without one at the deadline.
+	// AskTurn waits until the VM is granted a permit to swap the version of its engine, or until the long poll times out.
 	AskTurn(context.Context, *v1.AskTurnRequest) (*v1.AskTurnResponse, error)
-	// Exchange swaps the statuses that one entry has and the other lacks.
+	// Exchange returns the VM statuses that the caller, another entry, lacks.
 	Exchange(context.Context, *v1.ExchangeRequest) (*v1.ExchangeResponse, error)
 }
 
@@ -195,7 +195,7 @@
 
 // UpstreamServiceClient is a client for the springrail.v1.UpstreamService service.
 type UpstreamServiceClient interface {
-	// Run sends one request to the upstream.
+	// Run sends one request to the upstream and streams its answer.
 	Run(context.Context, *v1.RunRequest) (*connect.ServerStreamForClient[v1.RunResponse], error)
 }
 
@@ -231,7 +231,7 @@
 
 // UpstreamServiceHandler is an implementation of the springrail.v1.UpstreamService service.
 type UpstreamServiceHandler interface {
-	// Run sends one request to the upstream.
+	// Run sends one request to the upstream and streams its answer.
 	Run(context.Context, *v1.RunRequest, *connect.ServerStream[v1.RunResponse]) error
 }
 
@@ -343,7 +343,7 @@
 
 // ProcessServiceClient is a client for the springrail.v1.ProcessService service.
 type ProcessServiceClient interface {
-	// Events returns the events of the process's ring.
+	// Events returns the events of the process's ring buffer.
 	Events(context.Context, *v1.EventsRequest) (*v1.EventsResponse, error)
 }
 
@@ -383,7 +383,7 @@
 
 // ProcessServiceHandler is an implementation of the springrail.v1.ProcessService service.
 type ProcessServiceHandler interface {
-	// Events returns the events of the process's ring.
+	// Events returns the events of the process's ring buffer.
 	Events(context.Context, *v1.EventsRequest) (*v1.EventsResponse, error)
 }
 
--- a/gen/springrail/v1/springrailv1connect/limits.connect.go
+++ b/gen/springrail/v1/springrailv1connect/limits.connect.go
@@ -39,7 +39,7 @@
 
 // LimitServiceClient is a client for the springrail.v1.LimitService service.
 type LimitServiceClient interface {
-	// ListLimits returns what the gateway knows of them.
+	// ListLimits returns the rate limits and the paused and leaving upstreams that the gateway knows.
 	ListLimits(context.Context, *v1.ListLimitsRequest) (*v1.ListLimitsResponse, error)
 }
 
@@ -79,7 +79,7 @@
 
 // LimitServiceHandler is an implementation of the springrail.v1.LimitService service.
 type LimitServiceHandler interface {
-	// ListLimits returns what the gateway knows of them.
+	// ListLimits returns the rate limits and the paused and leaving upstreams that the gateway knows.
 	ListLimits(context.Context, *v1.ListLimitsRequest) (*v1.ListLimitsResponse, error)
 }
 
--- a/gen/springrail/v1/springrailv1connect/operator.connect.go
+++ b/gen/springrail/v1/springrailv1connect/operator.connect.go
@@ -72,7 +72,7 @@
 
 // OperatorServiceClient is a client for the springrail.v1.OperatorService service.
 type OperatorServiceClient interface {
-	// PutOrganisation creates or replaces an organisation. Only the fleet's administrator may call it.
+	// PutOrganisation creates or replaces an organisation. It requires an administrator's token.
 	PutOrganisation(context.Context, *v1.PutOrganisationRequest) (*v1.PutOrganisationResponse, error)
 	// GetOrganisation returns one organisation.
 	GetOrganisation(context.Context, *v1.GetOrganisationRequest) (*v1.GetOrganisationResponse, error)
@@ -84,17 +84,17 @@
 	GetRollout(context.Context, *v1.GetRolloutRequest) (*v1.GetRolloutResponse, error)
 	// ListRollouts returns the rollouts of an organisation, oldest first.
 	ListRollouts(context.Context, *v1.ListRolloutsRequest) (*v1.ListRolloutsResponse, error)
-	// WatchRollout sends the rollout and its progress at each change, until the caller ends it.
+	// WatchRollout streams the rollout and its progress at each change, until the caller cancels the call.
 	WatchRollout(context.Context, *v1.WatchRolloutRequest) (*connect.ServerStreamForClient[v1.WatchRolloutResponse], error)
 	// CancelRollout ends an active rollout.
 	CancelRollout(context.Context, *v1.CancelRolloutRequest) (*v1.CancelRolloutResponse, error)
-	// RollBackRollout creates a rollout of the version that was current before the named one.
+	// RollBackRollout creates a rollout of the version that was current before the given rollout.
 	RollBackRollout(context.Context, *v1.RollBackRolloutRequest) (*v1.RollBackRolloutResponse, error)
 	// ListVMs returns the VMs that hold or serve versions of an organisation.
 	ListVMs(context.Context, *v1.ListVMsRequest) (*v1.ListVMsResponse, error)
-	// GetChange says what became of a change.
+	// GetChange returns the outcome of a change.
 	GetChange(context.Context, *v1.GetChangeRequest) (*v1.GetChangeResponse, error)
-	// ListEvents returns the events of an organisation from all processes that can be reached.
+	// ListEvents returns the events of an organisation from all reachable processes.
 	ListEvents(context.Context, *v1.ListEventsRequest) (*v1.ListEventsResponse, error)
 }
 
@@ -306,7 +306,7 @@
 
 // OperatorServiceHandler is an implementation of the springrail.v1.OperatorService service.
 type OperatorServiceHandler interface {
-	// PutOrganisation creates or replaces an organisation. Only the fleet's administrator may call it.
+	// PutOrganisation creates or replaces an organisation. It requires an administrator's token.
 	PutOrganisation(context.Context, *v1.PutOrganisationRequest) (*v1.PutOrganisationResponse, error)
 	// GetOrganisation returns one organisation.
 	GetOrganisation(context.Context, *v1.GetOrganisationRequest) (*v1.GetOrganisationResponse, error)
@@ -318,17 +318,17 @@
 	GetRollout(context.Context, *v1.GetRolloutRequest) (*v1.GetRolloutResponse, error)
 	// ListRollouts returns the rollouts of an organisation, oldest first.
 	ListRollouts(context.Context, *v1.ListRolloutsRequest) (*v1.ListRolloutsResponse, error)
-	// WatchRollout sends the rollout and its progress at each change, until the caller ends it.
+	// WatchRollout streams the rollout and its progress at each change, until the caller cancels the call.
 	WatchRollout(context.Context, *v1.WatchRolloutRequest, *connect.ServerStream[v1.WatchRolloutResponse]) error
 	// CancelRollout ends an active rollout.
 	CancelRollout(context.Context, *v1.CancelRolloutRequest) (*v1.CancelRolloutResponse, error)
-	// RollBackRollout creates a rollout of the version that was current before the named one.
+	// RollBackRollout creates a rollout of the version that was current before the given rollout.
 	RollBackRollout(context.Context, *v1.RollBackRolloutRequest) (*v1.RollBackRolloutResponse, error)
 	// ListVMs returns the VMs that hold or serve versions of an organisation.
 	ListVMs(context.Context, *v1.ListVMsRequest) (*v1.ListVMsResponse, error)
-	// GetChange says what became of a change.
+	// GetChange returns the outcome of a change.
 	GetChange(context.Context, *v1.GetChangeRequest) (*v1.GetChangeResponse, error)
-	// ListEvents returns the events of an organisation from all processes that can be reached.
+	// ListEvents returns the events of an organisation from all reachable processes.
 	ListEvents(context.Context, *v1.ListEventsRequest) (*v1.ListEventsResponse, error)
 }
 
--- a/gen/springrail/v1/springrailv1connect/quarantine.connect.go
+++ b/gen/springrail/v1/springrailv1connect/quarantine.connect.go
@@ -43,9 +43,9 @@
 
 // QuarantineServiceClient is a client for the springrail.v1.QuarantineService service.
 type QuarantineServiceClient interface {
-	// ListHeld returns the requests that are held, and those under which upstreams have ended.
+	// ListHeld returns the requests that are held and those that are suspected: upstreams crashed while running them.
 	ListHeld(context.Context, *v1.ListHeldRequest) (*v1.ListHeldResponse, error)
-	// LiftHeld lets a request through again, at all gateways.
+	// LiftHeld releases a held request, so that all gateways forward it again.
 	LiftHeld(context.Context, *v1.LiftHeldRequest) (*v1.LiftHeldResponse, error)
 }
 
@@ -101,9 +101,9 @@
 
 // QuarantineServiceHandler is an implementation of the springrail.v1.QuarantineService service.
 type QuarantineServiceHandler interface {
-	// ListHeld returns the requests that are held, and those under which upstreams have ended.
+	// ListHeld returns the requests that are held and those that are suspected: upstreams crashed while running them.
 	ListHeld(context.Context, *v1.ListHeldRequest) (*v1.ListHeldResponse, error)
-	// LiftHeld lets a request through again, at all gateways.
+	// LiftHeld releases a held request, so that all gateways forward it again.
 	LiftHeld(context.Context, *v1.LiftHeldRequest) (*v1.LiftHeldResponse, error)
 }
 
--- a/gen/springrail/v1/springrailv1connect/records.connect.go
+++ b/gen/springrail/v1/springrailv1connect/records.connect.go
@@ -39,7 +39,7 @@
 
 // RecordServiceClient is a client for the springrail.v1.RecordService service.
 type RecordServiceClient interface {
-	// Follow returns what has changed, or waits for a change.
+	// Follow returns the changes since the caller's positions; if there are none, it waits for one.
 	Follow(context.Context, *v1.FollowRequest) (*v1.FollowResponse, error)
 }
 
@@ -79,7 +79,7 @@
 
 // RecordServiceHandler is an implementation of the springrail.v1.RecordService service.
 type RecordServiceHandler interface {
-	// Follow returns what has changed, or waits for a change.
+	// Follow returns the changes since the caller's positions; if there are none, it waits for one.
 	Follow(context.Context, *v1.FollowRequest) (*v1.FollowResponse, error)
 }
 
