--- a/Makefile
+++ b/Makefile
@@ -1,16 +1,17 @@
-# The front door: `make demo`, `make test`, `make lint`, `make soak`.
+# The main targets are `make demo`, `make test`, `make lint` and `make soak`.
 BIN := bin
 COMMANDS := springrail springrail-entry springrail-agent springrail-standin springrail-measure
 SOAK_COMMANDS := springrail-gateway springrail-stager springrail-soak
-# One short seeded run; others, such as SOAK="--cases" or SOAK="--seed 7 --seeds 20 --seconds 120", by hand.
+# The default is one short run with a fixed seed. Others are for example SOAK="--cases" and
+# SOAK="--seed 7 --seeds 20 --seconds 120".
 SOAK ?= --seed 1 --seconds 45
 TOOLS := go tool -modfile=tools/proto/go.mod
 GOLANGCI := .bin/golangci-lint
 GOLANGCI_VERSION := v2.15.0
 GOPLS := .bin/gopls
-# The newest that the Go release in go.mod builds.
+# The newest version that the Go release in go.mod can build.
 GOPLS_VERSION := v0.23.0
-# The suites with goroutines of their own; the others are pure.
+# The packages that `make race` tests, chosen for the concurrency of their code.
 RACED := ./internal/clock/... ./internal/fleet/... ./internal/kernel/... ./internal/records/... ./internal/transfer/... ./internal/upstream/... ./internal/quarantine/...
 PREFIX ?= /usr/local
 
@@ -25,7 +26,7 @@
 examples: build
 	BIN=$(BIN) scripts/check-examples.sh
 
-# The slowest package takes seven minutes on an idle machine, and more beside other work.
+# The slowest package takes seven minutes on an idle machine, and longer on a busy one.
 TEST_TIMEOUT ?= 25m
 
 test:
--- a/scripts/check-examples.sh
+++ b/scripts/check-examples.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks the settings of all examples with the binaries that read them.
+# Checks the settings files of all examples with the binaries that read them.
 set -euo pipefail
 bin=${BIN:-bin}
 for f in examples/*/entry-*.toml; do "$bin/springrail-entry" --check --settings "$f"; done
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs the whole path over loopback: a platform, 2 entries, 6 agents with engines and one plain service in 2 failure
-# domains, a rollout of 64 MB of random weights, and callers' requests. Ends by itself; non-zero on any failure.
+# Runs a complete deployment over loopback: a platform, 2 entries, 6 agents with engines and one plain service in 2 failure
+# domains, a rollout of 64 MB of random weights, and callers' requests. Exits by itself, with a non-zero code on any failure.
 set -euo pipefail
 
 bin=${BIN:-bin}
@@ -161,7 +161,7 @@
 "$bin/springrail" rollout status --watch --timeout 60s "$rollout"
 lasted=$((($(date +%s%N) - begun) / 1000000))
 
-say "a caller's request, streamed by the other entry"
+say "a caller's request to the other entry, with a streamed answer"
 request=demo-request-1
 for _ in $(seq 50); do
   code=$(curl -sS -o "$dir/answer" -D "$dir/head" -w '%{http_code}' "$caller/v1/chat/completions" \
@@ -175,33 +175,33 @@
 grep -q '"system_fingerprint":"v1"' "$dir/answer"
 grep -q 'data: \[DONE\]' "$dir/answer"
 
-say "a call to the plain service that may not be repeated, sent twice"
+say "a call to the plain service with an idempotency key, sent twice"
 for _ in 1 2; do
   curl -fsS "$caller/svc/frontdesk/freeze" -H 'Authorization: Bearer gym-caller' -H 'Idempotency-Key: freeze-1' -d 'member 7'
 done
 curl -fsS "http://127.0.0.1:$((base + 407))/stats" | grep '"freeze-1":1' > /dev/null
-echo "it ran once"
+echo "the service ran it once"
 
-say "the time line of the rollout"
+say "the events of the rollout"
 "$bin/springrail" timeline --rollout "$rollout" >"$dir/timeline"
 grep -v -e origin-drawn "$dir/timeline" | head -n 40
 for v in entry-1 engine-1 engine-2 engine-3 engine-4 engine-5 engine-6; do grep -q "$v" "$dir/timeline"; done
 
-say "what was proved and measured"
+say "checks and measurements"
 for i in 1 2 3 4 5 6; do
   curl -fsS "http://127.0.0.1:$((base + 400 + i))/stats" | grep "\"$sum\":1" > /dev/null
 done
-echo "every engine loaded bytes of manifest $sum"
+echo "every engine loaded the content of manifest $sum"
 drawn=$(curl -fsS "http://$platform/stats" | sed 's/.*"origin_bytes":\([0-9]*\).*/\1/')
-echo "live on 6 of 6 VMs after $lasted ms; the origin sent $drawn bytes, $((drawn * 100 / 67108864)) hundredths of a copy"
+echo "live on 6 of 6 VMs after $lasted ms; the origin sent $drawn bytes, $((drawn * 100 / 67108864)) % of a copy"
 
 curl -fsS "http://127.0.0.1:$((base + 301))/debug/vars" | grep '"Received"' > /dev/null
 curl -fsS "http://127.0.0.1:$((base + 111))/debug/vars" | grep '"answered"\|"config_offset"' > /dev/null
 curl -fsS -o /dev/null "http://127.0.0.1:$((base + 301))/livez"
 echo "memory: entry-1 $(rss entry-1) MB, engine-1's agent $(rss engine-1) MB with 64 MB of chunks, service-1's agent $(rss service-1) MB"
 
-say "a planned stop of every process"
+say "stopping every process"
 for p in "${pids[@]}"; do kill -TERM "$p"; done
 for p in "${pids[@]}"; do wait "$p"; done
 pids=()
-echo "all ended well"
+echo "all processes stopped without an error"
